--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
 GOBIN ?= $(shell go env GOPATH)/bin
 LINTER = github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
+GOPLS = golang.org/x/tools/gopls@v0.23.0
 SEED ?= 1
 FOR ?= 60s
 NODES ?= 300
@@ -21,6 +22,10 @@
 	$(GOBIN)/golangci-lint run ./...
 $(GOBIN)/golangci-lint:
 	go install $(LINTER)
+# The language server: `gopls rename -w FILE:LINE:COL NAME` renames every use of an identifier.
+gopls: $(GOBIN)/gopls
+$(GOBIN)/gopls:
+	go install $(GOPLS)
 demo:
 	go run ./test/demo $(if $(KEEP),-keep)
 bench:
@@ -35,4 +40,4 @@
 
 days:
 	script/days
-.PHONY: all build test lint demo bench soak fleet slopes days
+.PHONY: all build test lint gopls demo bench soak fleet slopes days
