--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -11,11 +11,12 @@
 	"moorrun.dev/moorrun/internal/quarantine"
 )
 
-// BenchmarkRequest is what each request costs: its fingerprint, whether it is held back, and that it was answered.
+// BenchmarkRequest measures the cost added to each request: computing its fingerprint, checking whether it is held back, and
+// recording its answer.
 func BenchmarkRequest(b *testing.B) {
 	table := quarantine.NewTable()
 	for f := range quarantine.Fingerprint(1000) {
-		ended(table, 1, 3, f)
+		recordEndings(table, 1, 3, f)
 	}
 	c := quarantine.Content{Workspace: "w", Host: "h", Method: "POST", Target: "/a/b", Body: bytes.Repeat([]byte("x"), 2000)}
 	now := time.Now()
@@ -26,20 +27,20 @@
 	}
 }
 
-func TestFullTableTakesLessThanAMegabyte(t *testing.T) {
+func TestFullTableUsesLessThanOneMegabyte(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	table := quarantine.NewTable()
 	for f := range quarantine.Fingerprint(2000) {
-		ended(table, 1, 16, f)
+		recordEndings(table, 1, 16, f)
 		table.Answered(1<<20+f, time.Now())
 		table.Answered(1<<21+f, time.Now())
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	kept := int64(after.HeapAlloc) - int64(before.HeapAlloc)
-	t.Logf("%d KB", kept/1024)
-	qt.Check(t, kept < 1<<20, qt.IsTrue, qt.Commentf("%d bytes", kept))
+	heapGrowth := int64(after.HeapAlloc) - int64(before.HeapAlloc)
+	t.Logf("%d KB", heapGrowth/1024)
+	qt.Check(t, heapGrowth < 1<<20, qt.IsTrue, qt.Commentf("%d bytes", heapGrowth))
 	runtime.KeepAlive(table)
 }
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -6,44 +6,44 @@
 )
 
 const (
-	// endingsToHold is how many endpoints have to end under a request for it to be held back. Endpoints end for other reasons,
-	// too: in a wave of losses two in a row hit the same request, three do not.
+	// endingsToHold is how many endpoints must end under a request before it is held back. Endpoints also end for other
+	// reasons: in a series of unrelated losses, two in a row hit the same request, but three do not.
 	endingsToHold = 3
-	// firstHold is how long a request is held back after its third ending; each further one doubles it, up to mostHold. One
-	// that is held back by mistake is served again after a minute; one that was rightly so ends an endpoint more at the most
-	// each time.
-	firstHold = time.Minute
-	mostHold  = 32 * time.Minute
-	// keepFor is how long the endings under a request are kept that is not held back, and keepHeld how long after its hold
-	// has run out.
-	keepFor  = 2 * time.Minute
-	keepHeld = 10 * time.Minute
-	// renewFrom is the part of a hold below which another attempt begins it anew: a request that keeps coming stays held, and
-	// nodes are told of that four times in a hold at most.
-	renewFrom = 0.75
-	// holdSlack is the difference of two nodes' holds that need not be told.
-	holdSlack = 5 * time.Second
+	// initialHold is how long a request is held back after endingsToHold endings; each further ending doubles the time, up
+	// to maxHold. A request that is held back by mistake is served again after a minute; one that is held back rightly ends
+	// at most one more endpoint after each hold.
+	initialHold = time.Minute
+	maxHold     = 32 * time.Minute
+	// entryTTL is how long the endings of a request that is not held back are kept, and heldEntryTTL how long they are kept
+	// after a hold has expired.
+	entryTTL     = 2 * time.Minute
+	heldEntryTTL = 10 * time.Minute
+	// renewThreshold is the fraction of a hold that must remain for an attempt not to renew it. Attempts keep a request
+	// held, and nodes are told of renewals at most four times per hold.
+	renewThreshold = 0.75
+	// holdTolerance is the difference between the hold times of two nodes that need not be exchanged.
+	holdTolerance = 5 * time.Second
 )
 
-// entry is what a Table keeps of one request.
+// entry is the state of one request in a Table.
 type entry struct {
-	endings  []Ending // in order of time
-	answered bool
-	until    time.Time // held back until then
-	touched  time.Time // when the last ending or answer was noted, by whichever node
-	sequence uint64    // of the Table at the last change
-	source   Source    // of the last change
-	found    uint64    // sequence at the last change that no relay has told of, so that all others need to be told
+	endings          []Ending // sorted by time
+	answered         bool
+	heldUntil        time.Time // end of the hold
+	updatedAt        time.Time // when the last ending or answer was recorded by any node
+	sequence         uint64    // the Table's sequence at the last change
+	source           Source    // source of the last change
+	nonRelaySequence uint64    // sequence at the last change not received from a relay; all other nodes need it
 }
 
-// holdFor is how long a request is held back under which endpoints have ended that many times.
-func holdFor(endings int) time.Duration {
-	return min(firstHold<<min(max(0, endings-endingsToHold), maxEndings), mostHold)
+// holdDuration returns how long a request with that many endings is held back.
+func holdDuration(endings int) time.Duration {
+	return min(initialHold<<min(max(0, endings-endingsToHold), maxEndings), maxHold)
 }
 
-// add takes in an ending and reports whether it is new.
+// add adds an ending and reports whether it is new.
 func (e *entry) add(ending Ending) bool {
-	if len(e.endings) >= maxEndings || e.has(ending) {
+	if len(e.endings) >= maxEndings || e.hasLife(ending) {
 		return false
 	}
 	e.endings = append(e.endings, ending)
@@ -51,29 +51,29 @@
 	return true
 }
 
-// has reports whether that life of an endpoint has ended under the request.
-func (e *entry) has(ending Ending) bool {
+// hasLife reports whether the same life of an endpoint is already recorded.
+func (e *entry) hasLife(ending Ending) bool {
 	return slices.ContainsFunc(e.endings, func(known Ending) bool { return known.Life == ending.Life })
 }
 
 // suspected reports whether enough endpoints have ended under the request and none has answered it.
-func (e *entry) suspected() bool { return !e.answered && incidents(e.endings) >= endingsToHold }
+func (e *entry) suspected() bool { return !e.answered && countIncidents(e.endings) >= endingsToHold }
 
-// prolong holds the request back from now on for as long as its endings say, and at least as long as before.
-func (e *entry) prolong(now time.Time) {
-	if until := now.Add(holdFor(incidents(e.endings))); e.suspected() && until.After(e.until) {
-		e.until = until
+// extendHold holds a suspected request back from now on for holdDuration; it never shortens an existing hold.
+func (e *entry) extendHold(now time.Time) {
+	if until := now.Add(holdDuration(countIncidents(e.endings))); e.suspected() && until.After(e.heldUntil) {
+		e.heldUntil = until
 	}
 }
 
-// expired reports whether the entry is of no use any more.
+// expired reports whether the entry can be dropped.
 func (e *entry) expired(now time.Time) bool {
-	return now.Sub(e.touched) > keepFor && now.Sub(e.until) > keepHeld
+	return now.Sub(e.updatedAt) > entryTTL && now.Sub(e.heldUntil) > heldEntryTTL
 }
 
-// record returns what other nodes are told.
+// record returns the state of the entry for other nodes.
 func (e *entry) record(f Fingerprint, now time.Time) Record {
 	return Record{
-		Fingerprint: f, Endings: slices.Clone(e.endings), Answered: e.answered, Hold: max(0, e.until.Sub(now)), Age: max(0, now.Sub(e.touched)),
+		Fingerprint: f, Endings: slices.Clone(e.endings), Answered: e.answered, Hold: max(0, e.heldUntil.Sub(now)), Age: max(0, now.Sub(e.updatedAt)),
 	}
 }
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -11,31 +11,31 @@
 	"moorrun.dev/moorrun/internal/clock"
 )
 
-// Since returns the first of what has changed after that sequence, up to most records, and the sequence that they reach.
-// Left out are entries that were changed last by a source that tell does not accept, unless there was a change before it
-// that everyone needs to be told of.
-func (t *Table) Since(sequence uint64, tell func(Source) bool, most int) ([]Record, uint64) {
+// Since returns up to limit records that changed after the given sequence, oldest change first, and the sequence up to which
+// they are complete. It omits entries whose last change came from a source that accept rejects, unless an earlier change
+// after the sequence did not come from a relay and so has to reach all nodes.
+func (t *Table) Since(sequence uint64, accept func(Source) bool, limit int) ([]Record, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if sequence >= t.sequence {
 		return nil, t.sequence
 	}
-	type found struct {
+	type changedEntry struct {
 		fingerprint Fingerprint
 		entry       *entry
 	}
-	var changed []found
+	var changed []changedEntry
 	for f, e := range t.entries {
-		overlaid := e.found > sequence && e.found < e.sequence
-		if e.sequence > sequence && (overlaid || tell(e.source)) {
-			changed = append(changed, found{f, e})
+		hasNonRelayChange := e.nonRelaySequence > sequence && e.nonRelaySequence < e.sequence
+		if e.sequence > sequence && (hasNonRelayChange || accept(e.source)) {
+			changed = append(changed, changedEntry{f, e})
 		}
 	}
-	slices.SortFunc(changed, func(a, b found) int { return cmp.Compare(a.entry.sequence, b.entry.sequence) })
+	slices.SortFunc(changed, func(a, b changedEntry) int { return cmp.Compare(a.entry.sequence, b.entry.sequence) })
 	reached := t.sequence
-	if len(changed) > most {
-		changed = changed[:most]
-		reached = changed[most-1].entry.sequence
+	if len(changed) > limit {
+		changed = changed[:limit]
+		reached = changed[limit-1].entry.sequence
 	}
 	now := clock.Now()
 	out := make([]Record, 0, len(changed))
@@ -45,8 +45,8 @@
 	return out, reached
 }
 
-// Merge takes in what a node has told, as of an instant not after that, and reports whether a request is held back now that
-// was not before.
+// Merge adds records received from a node and reports whether any request is newly held back. asOf is the time to which the
+// ages in the records refer; it is not after the time at which they were sent.
 func (t *Table) Merge(records []Record, from Source, asOf time.Time) bool {
 	now := clock.Now()
 	var held []Record
@@ -54,19 +54,19 @@
 	for _, r := range records {
 		e, known := t.entries[r.Fingerprint]
 		if !known {
-			e = &entry{touched: asOf.Add(-r.Age)}
+			e = &entry{updatedAt: asOf.Add(-r.Age)}
 		}
-		was := e.suspected()
-		found, news := t.merge(e, r, asOf, now)
-		if !news || !known && e.expired(now) {
+		wasSuspected := e.suspected()
+		foundHere, changed := t.merge(e, r, asOf, now)
+		if !changed || !known && e.expired(now) {
 			continue
 		}
 		source := from
-		if found {
+		if foundHere {
 			source = Source{}
 		}
-		t.store(r.Fingerprint, e, source, now)
-		if !was && e.suspected() {
+		t.commit(r.Fingerprint, e, source, now)
+		if !wasSuspected && e.suspected() {
 			held = append(held, e.record(r.Fingerprint, now))
 		}
 	}
@@ -79,34 +79,34 @@
 	return len(held) > 0
 }
 
-// merge adds a record to an entry and reports whether that is news, and whether this node itself has found something by it
-// that the other one did not know; the lock is held.
-func (t *Table) merge(e *entry, r Record, asOf, now time.Time) (found, news bool) {
+// merge adds a record to an entry. changed reports whether the entry changed; foundHere reports whether this node knows of
+// an answer that the sender did not. The caller holds t.mu.
+func (t *Table) merge(e *entry, r Record, asOf, now time.Time) (foundHere, changed bool) {
 	for _, ending := range r.Endings {
-		news = e.add(ending) || news
+		changed = e.add(ending) || changed
 	}
 	if r.Answered && !e.answered {
-		e.answered, news = true, true
+		e.answered, changed = true, true
 	}
-	if !e.answered && t.recent.has(r.Fingerprint) {
-		e.answered, found, news = true, true, true
+	if !e.answered && t.recentAnswers.has(r.Fingerprint) {
+		e.answered, foundHere, changed = true, true, true
 	}
-	if news {
-		e.prolong(now)
-		if at := asOf.Add(-r.Age); at.After(e.touched) {
-			e.touched = at
+	if changed {
+		e.extendHold(now)
+		if at := asOf.Add(-r.Age); at.After(e.updatedAt) {
+			e.updatedAt = at
 		}
 	}
-	if until := asOf.Add(r.Hold); r.Hold > 0 && until.After(e.until) {
-		news = news || until.Sub(e.until) > holdSlack
-		e.until = until
+	if until := asOf.Add(r.Hold); r.Hold > 0 && until.After(e.heldUntil) {
+		changed = changed || until.Sub(e.heldUntil) > holdTolerance
+		e.heldUntil = until
 	}
-	return found, news
+	return foundHere, changed
 }
 
-// Suspected returns the requests under which enough endpoints have ended to hold them back, up to most, those with the most
+// Suspected returns up to limit requests under which enough endpoints have ended to hold them back, those with the most
 // endings first.
-func (t *Table) Suspected(most int) []Record {
+func (t *Table) Suspected(limit int) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := clock.Now()
@@ -117,17 +117,17 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(len(b.Endings), len(a.Endings)) })
-	return out[:min(len(out), most)]
+	return out[:min(len(out), limit)]
 }
 
-// Digest returns a number that is the same in two tables that suspect the same requests for the same endings.
+// Digest returns a hash of the suspected requests and their endings; it is equal in tables that agree on them.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.digested == t.sequence {
+	if t.digestSequence == t.sequence {
 		return t.digest
 	}
-	t.digest, t.digested = 0, t.sequence
+	t.digest, t.digestSequence = 0, t.sequence
 	for f, e := range t.entries {
 		if e.suspected() {
 			t.digest ^= e.digest(f)
@@ -136,7 +136,7 @@
 	return t.digest
 }
 
-// digest stands for the request and its endings, in whatever order they were noted.
+// digest returns a hash of the request and its endings, independent of their order.
 func (e *entry) digest(f Fingerprint) uint64 {
 	content := binary.BigEndian.AppendUint64(nil, uint64(f))
 	lives := make([]uint32, 0, len(e.endings))
--- a/internal/quarantine/finding.go
+++ b/internal/quarantine/finding.go
@@ -1,13 +1,13 @@
 package quarantine
 
-// Finding is what asking an endpoint has shown.
+// Finding is the result of probing an endpoint.
 type Finding uint8
 
 const (
-	// Alive means that it answered.
+	// Alive means that the endpoint answered.
 	Alive Finding = iota + 1
-	// Ended means that nothing listens there any more, or another endpoint does.
+	// Ended means that nothing listens at the endpoint's address, or that another endpoint does.
 	Ended
-	// Unknown means that nothing came: it may be cut off, suspended or without power.
+	// Unknown means that no answer arrived: the endpoint may be unreachable, suspended or without power.
 	Unknown
 )
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,8 +1,9 @@
-// Package quarantine finds the requests that end every endpoint which begins to run them, and holds them back.
+// Package quarantine detects requests that terminate every endpoint that begins to run them, and holds them back.
 //
-// A caller's request comes again as a new attempt, at any node, so a node alone cannot know. Each node notes which requests
-// were running at an endpoint that has ended; the nodes tell each other, and a request under which several endpoints have
-// ended is sent to none until its time is up.
+// The termination of one process of an endpoint is called an ending. Callers retry a failed request as a new attempt at any
+// node, so no single node sees all attempts. Each node records which requests were running at an endpoint when it ended, and
+// the nodes exchange these records. A request under which several endpoints have ended is not sent to any endpoint until its
+// hold expires.
 package quarantine
 
 import (
@@ -11,15 +12,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint stands for all requests with the same content of the same workspace. Attempt ids, deadlines and the last
-// event that the caller has differ from attempt to attempt and are no part of it. Two contents of one workspace have the
-// same one by chance once in 2^64.
+// Fingerprint identifies all requests of one workspace that have the same content. Attempt ids, deadlines and the id of the
+// last event received by the caller are excluded, because they differ between attempts. Two different contents of a
+// workspace collide with a probability of 1 in 2^64.
 type Fingerprint uint64
 
-// String returns the fingerprint as it stands in logs and in the store: 16 hexadecimal digits.
+// String returns the fingerprint as 16 hexadecimal digits, the form used in logs and in the object store.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// Content is what two attempts have in common that ask for the same.
+// Content holds the parts of a request that are the same in every attempt.
 type Content struct {
 	Workspace string
 	Host      string
@@ -28,16 +29,16 @@
 	Body      []byte
 }
 
-// Fingerprint returns the fingerprint of the content.
+// Fingerprint returns a hash of all fields.
 func (c *Content) Fingerprint() Fingerprint {
 	h := xxhash.New()
 	for _, part := range []string{c.Workspace, c.Host, c.Method, c.Target} {
-		_, _ = h.WriteString(part) // a hash takes everything
-		_, _ = h.Write([]byte{0})  // no part runs into the next one
+		_, _ = h.WriteString(part) // a hash never returns an error
+		_, _ = h.Write([]byte{0})  // separator, so that adjacent fields cannot be confused
 	}
 	_, _ = h.Write(c.Body)
 	return Fingerprint(h.Sum64())
 }
 
-// MarshalText returns what String does, for logs that list several.
+// MarshalText returns the text of String, for log values that list several fingerprints.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -8,17 +8,17 @@
 	"moorrun.dev/moorrun/internal/quarantine"
 )
 
-func TestFingerprintTellsContentsApart(t *testing.T) {
-	of := func(workspace, host, method, target, body string) quarantine.Fingerprint {
+func TestFingerprintDiffersByContent(t *testing.T) {
+	fingerprintOf := func(workspace, host, method, target, body string) quarantine.Fingerprint {
 		c := quarantine.Content{Workspace: workspace, Host: host, Method: method, Target: target, Body: []byte(body)}
 		return c.Fingerprint()
 	}
-	one := of("w", "h", "POST", "/a/b", "body")
-	qt.Check(t, of("w", "h", "POST", "/a/b", "body"), qt.Equals, one)
+	one := fingerprintOf("w", "h", "POST", "/a/b", "body")
+	qt.Check(t, fingerprintOf("w", "h", "POST", "/a/b", "body"), qt.Equals, one)
 	for name, other := range map[string]quarantine.Fingerprint{
-		"workspace": of("v", "h", "POST", "/a/b", "body"), "host": of("w", "i", "POST", "/a/b", "body"),
-		"method": of("w", "h", "GET", "/a/b", "body"), "target": of("w", "h", "POST", "/a/b?c", "body"),
-		"body": of("w", "h", "POST", "/a/b", "bodies"), "split": of("w", "h", "POST", "/a/", "bbody"),
+		"workspace": fingerprintOf("v", "h", "POST", "/a/b", "body"), "host": fingerprintOf("w", "i", "POST", "/a/b", "body"),
+		"method": fingerprintOf("w", "h", "GET", "/a/b", "body"), "target": fingerprintOf("w", "h", "POST", "/a/b?c", "body"),
+		"body": fingerprintOf("w", "h", "POST", "/a/b", "bodies"), "split": fingerprintOf("w", "h", "POST", "/a/", "bbody"),
 	} {
 		qt.Check(t, other == one, qt.IsFalse, qt.Commentf(name))
 	}
--- a/internal/quarantine/inquiry.go
+++ b/internal/quarantine/inquiry.go
@@ -15,192 +15,193 @@
 )
 
 const (
-	// askWait bounds one question to an endpoint. Those that live in the same region answer within some ms.
-	askWait = 400 * time.Millisecond
-	// neighbours is how many endpoints beside one that has ended are asked at the most. One that answers shows that the
-	// fabric domain lives, and mostly it is the first.
-	neighbours = 3
-	// leftFor is how long after a request was given up its endpoint may end under it: it ends when it begins to run it, and
-	// waits for its place in a batch before.
-	leftFor = 2 * time.Second
-	// maxLeft bounds the requests given up that are kept of one endpoint.
-	maxLeft = 64
-	// maxNamed bounds the fingerprints in one line of the log.
-	maxNamed = 20
+	// probeTimeout bounds one probe of an endpoint. Endpoints in the same region answer within a few milliseconds.
+	probeTimeout = 400 * time.Millisecond
+	// maxNeighbourProbes is the maximum number of endpoints in the same fabric domain that are probed after an ending. One
+	// that answers shows that the domain is up; usually the first one does.
+	maxNeighbourProbes = 3
+	// abandonedTTL is how long after a caller abandons a request an ending still counts against that request. An endpoint
+	// ends when it begins to run the request, which may first wait for its place in a batch.
+	abandonedTTL = 2 * time.Second
+	// maxAbandonedPerEndpoint is the maximum number of abandoned requests kept for each endpoint.
+	maxAbandonedPerEndpoint = 64
+	// maxLoggedFingerprints is the maximum number of fingerprints in one log line.
+	maxLoggedFingerprints = 20
 )
 
-// Inquiry finds out why connections to endpoints have broken. An endpoint's end counts against the requests that it was
-// running only if there is no other reason to be seen: it was not about to leave, and its fabric domain lives. A silent
-// endpoint has not ended as far as can be known.
+// Inquiry determines why connections to endpoints broke. An ending counts against the requests that the endpoint was running
+// only if there is no other known cause: the endpoint was not draining, and its fabric domain is up. An endpoint that does
+// not answer at all is not assumed to have ended.
 type Inquiry struct {
 	Table     *Table
 	Directory *endpoint.Directory
-	// Ask asks an endpoint whether it lives.
+	// Ask probes whether an endpoint is alive.
 	Ask func(ctx context.Context, e *endpoint.Endpoint) Finding
-	// Noted is called when an ending was noted; held says that a request is held back for it, which the other nodes are to
-	// know at once. It must not block.
+	// Noted is called after an ending has been recorded. held reports whether a request is newly held back because of it, in
+	// which case the other nodes must be told at once. Noted must not block.
 	Noted  func(held bool)
 	Logger log.Logger
 
-	mu   sync.Mutex
-	open map[uint32]*inquest      // by the endpoint's life
-	left map[string][]leftRequest // by the endpoint's id
+	mu             sync.Mutex
+	investigations map[uint32]*investigation     // by lifeHash of the endpoint
+	abandoned      map[string][]abandonedRequest // by endpoint id
 }
 
-// leftRequest is a request that was given up before its endpoint had answered.
-type leftRequest struct {
+// abandonedRequest is a request that was abandoned before its endpoint answered.
+type abandonedRequest struct {
 	fingerprint Fingerprint
 	at          time.Time
 }
 
-// Failed takes in that the connection to an endpoint broke while it had the request; resent says that it was sent there
-// after another endpoint had failed it.
+// Failed reports that the connection to an endpoint broke while the endpoint had the request. resent means that the request
+// was sent to this endpoint after another endpoint had failed it.
 func (q *Inquiry) Failed(e *endpoint.Endpoint, f Fingerprint, resent bool) {
 	now := clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	o := q.open[lifeOf(e)]
+	o := q.investigations[lifeHash(e)]
 	switch {
 	case o == nil || !o.fresh(now):
-		q.begin(e).add(f, resent)
-	case o.found == "":
+		q.investigate(e).add(f, resent)
+	case o.cause == "":
 		o.add(f, resent)
-	case o.found == endedAlone:
-		late := &inquest{}
+	case o.cause == endedAlone:
+		late := &investigation{}
 		late.add(f, resent)
-		q.note(e, late, o.at, now)
+		q.recordEnding(e, late, o.start, now)
 	}
 }
 
-// Left takes in that the request was given up while the endpoint had it.
+// Left reports that the request was abandoned while the endpoint had it.
 func (q *Inquiry) Left(e *endpoint.Endpoint, f Fingerprint) {
 	now := clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.left == nil {
-		q.left = make(map[string][]leftRequest)
+	if q.abandoned == nil {
+		q.abandoned = make(map[string][]abandonedRequest)
 	}
-	list := q.stillLeft(e.ID, now)
-	if len(list) >= maxLeft {
+	list := q.recentlyAbandoned(e.ID, now)
+	if len(list) >= maxAbandonedPerEndpoint {
 		list = list[1:]
 	}
-	q.left[e.ID] = append(list, leftRequest{f, now})
+	q.abandoned[e.ID] = append(list, abandonedRequest{f, now})
 }
 
-// Refused takes in that the endpoint did not take a connection. That is asked into only if it had requests that were given
-// up: of the others the end shows by itself.
+// Refused reports that the endpoint refused a connection. It starts an investigation only if the endpoint had abandoned
+// requests; the connections of all other requests break, which Failed reports.
 func (q *Inquiry) Refused(e *endpoint.Endpoint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.stillLeft(e.ID, clock.Now())) > 0 && q.open[lifeOf(e)] == nil {
-		q.begin(e)
+	if len(q.recentlyAbandoned(e.ID, clock.Now())) > 0 && q.investigations[lifeHash(e)] == nil {
+		q.investigate(e)
 	}
 }
 
-// Sweep forgets what has grown old.
+// Sweep removes abandoned requests and investigations that have expired.
 func (q *Inquiry) Sweep(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for id := range q.left {
-		if len(q.stillLeft(id, now)) == 0 {
-			delete(q.left, id)
+	for id := range q.abandoned {
+		if len(q.recentlyAbandoned(id, now)) == 0 {
+			delete(q.abandoned, id)
 		}
 	}
-	for life, o := range q.open {
+	for life, o := range q.investigations {
 		if !o.fresh(now) {
-			delete(q.open, life)
+			delete(q.investigations, life)
 		}
 	}
 }
 
-// stillLeft returns the requests lately given up at an endpoint; the lock is held.
-func (q *Inquiry) stillLeft(id string, now time.Time) []leftRequest {
-	return slices.DeleteFunc(slices.Clone(q.left[id]), func(l leftRequest) bool { return now.Sub(l.at) > leftFor })
+// recentlyAbandoned returns the requests abandoned at an endpoint within abandonedTTL. The caller holds q.mu.
+func (q *Inquiry) recentlyAbandoned(id string, now time.Time) []abandonedRequest {
+	return slices.DeleteFunc(slices.Clone(q.abandoned[id]), func(l abandonedRequest) bool { return now.Sub(l.at) > abandonedTTL })
 }
 
-// begin opens an inquest; the lock is held.
-func (q *Inquiry) begin(e *endpoint.Endpoint) *inquest {
-	if q.open == nil {
-		q.open = make(map[uint32]*inquest)
+// investigate starts an investigation of an endpoint. The caller holds q.mu.
+func (q *Inquiry) investigate(e *endpoint.Endpoint) *investigation {
+	if q.investigations == nil {
+		q.investigations = make(map[uint32]*investigation)
 	}
-	o := &inquest{}
-	q.open[lifeOf(e)] = o
+	o := &investigation{}
+	q.investigations[lifeHash(e)] = o
 	go q.conclude(e, clock.Now())
 	return o
 }
 
-// note notes the endpoint's end against the requests, and reports whether one of them begins to be held back.
-func (q *Inquiry) note(e *endpoint.Endpoint, o *inquest, noticed, now time.Time) bool {
+// recordEnding records the ending against the requests and reports whether any of them is newly held back.
+func (q *Inquiry) recordEnding(e *endpoint.Endpoint, o *investigation, noticed, now time.Time) bool {
 	ending := EndingOf(e, noticed)
 	held := q.Table.Ended(ending, o.requests, now)
-	return q.Table.Ended(ending.apart(), o.resent, now) || held
+	return q.Table.Ended(ending.asSeparateIncident(), o.resent, now) || held
 }
 
-// conclude finds out whether the endpoint has ended by itself and notes it against its requests, as of when that was noticed.
+// conclude determines the cause and, if the endpoint ended for no other known reason, records the ending against its
+// requests. noticed is when the first connection failed.
 func (q *Inquiry) conclude(e *endpoint.Endpoint, noticed time.Time) {
-	found := q.reason(e)
+	cause := q.findCause(e)
 	now := clock.Now()
 	q.mu.Lock()
-	o := q.open[lifeOf(e)]
-	had := &inquest{requests: o.requests, resent: o.resent}
-	*o = inquest{found: found, at: noticed}
-	if found == stillAlive {
-		delete(q.open, lifeOf(e)) // it may end any moment
+	o := q.investigations[lifeHash(e)]
+	affected := &investigation{requests: o.requests, resent: o.resent}
+	*o = investigation{cause: cause, start: noticed}
+	if cause == noEndFound {
+		delete(q.investigations, lifeHash(e)) // the endpoint may still end at any time
 		q.mu.Unlock()
 		return
 	}
-	for _, l := range q.stillLeft(e.ID, now) {
-		had.add(l.fingerprint, false)
+	for _, l := range q.recentlyAbandoned(e.ID, now) {
+		affected.add(l.fingerprint, false)
 	}
 	q.mu.Unlock()
-	q.tell(e, found, slices.Concat(had.requests, had.resent))
-	if found == endedAlone {
-		q.Noted(q.note(e, had, noticed, now))
+	q.logCause(e, cause, slices.Concat(affected.requests, affected.resent))
+	if cause == endedAlone {
+		q.Noted(q.recordEnding(e, affected, noticed, now))
 	}
 }
 
-// tell logs what has been found of an endpoint.
-func (q *Inquiry) tell(e *endpoint.Endpoint, found reason, requests []Fingerprint) {
-	_ = level.Info(q.Logger).Log("msg", "endpoint ended", "endpoint", e.ID, "domain", e.Domain, "finding", string(found),
-		"requests", len(requests), "fingerprints", requests[:min(len(requests), maxNamed)])
+// logCause logs the cause of an endpoint's ending.
+func (q *Inquiry) logCause(e *endpoint.Endpoint, cause endCause, requests []Fingerprint) {
+	_ = level.Info(q.Logger).Log("msg", "endpoint ended", "endpoint", e.ID, "domain", e.Domain, "finding", string(cause),
+		"requests", len(requests), "fingerprints", requests[:min(len(requests), maxLoggedFingerprints)])
 }
 
-// reason asks the endpoint and those beside it.
-func (q *Inquiry) reason(e *endpoint.Endpoint) reason {
-	if q.ask(e) != Ended {
-		return stillAlive
+// findCause probes the endpoint and a sample of its neighbours.
+func (q *Inquiry) findCause(e *endpoint.Endpoint) endCause {
+	if q.probe(e) != Ended {
+		return noEndFound
 	}
 	snapshot := q.Directory.Read()
 	if listed := snapshot.Endpoints[e.ID]; listed == nil || listed.Draining {
-		return wasLeaving
+		return endedWhileDraining
 	}
-	beside := q.besides(snapshot, e)
-	if len(beside) > 0 && !slices.ContainsFunc(beside, func(n *endpoint.Endpoint) bool { return q.ask(n) == Alive }) {
-		return withDomain
+	neighbours := q.sampleNeighbours(snapshot, e)
+	if len(neighbours) > 0 && !slices.ContainsFunc(neighbours, func(n *endpoint.Endpoint) bool { return q.probe(n) == Alive }) {
+		return endedWithDomain
 	}
 	return endedAlone
 }
 
-func (q *Inquiry) ask(e *endpoint.Endpoint) Finding {
-	ctx, cancel := context.WithTimeout(context.Background(), askWait)
+func (q *Inquiry) probe(e *endpoint.Endpoint) Finding {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return q.Ask(ctx, e)
 }
 
-// besides draws some endpoints that are lost together with e if its fabric domain is, or if it is in none, its data centre.
-// Those that this node knows to have ended come last: of the domain they tell nothing new.
-func (q *Inquiry) besides(s *endpoint.Snapshot, e *endpoint.Endpoint) []*endpoint.Endpoint {
+// sampleNeighbours returns random endpoints of e's fabric domain or, if e is in none, of its data centre. Endpoints that this
+// node is investigating or has found to have ended come last, because they tell nothing new about the domain.
+func (q *Inquiry) sampleNeighbours(s *endpoint.Snapshot, e *endpoint.Endpoint) []*endpoint.Endpoint {
 	var out, ended []*endpoint.Endpoint
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, other := range s.Endpoints {
-		together := other.Domain == e.Domain
+		sharesDomain := other.Domain == e.Domain
 		if e.Domain == "" {
-			together = other.Zone == e.Zone
+			sharesDomain = other.Zone == e.Zone
 		}
 		switch {
-		case !together || other.ID == e.ID || other.Draining:
-		case q.open[lifeOf(other)] != nil:
+		case !sharesDomain || other.ID == e.ID || other.Draining:
+		case q.investigations[lifeHash(other)] != nil:
 			ended = append(ended, other)
 		default:
 			out = append(out, other)
@@ -209,7 +210,7 @@
 	shuffle(out)
 	shuffle(ended)
 	out = append(out, ended...)
-	return out[:min(len(out), neighbours)]
+	return out[:min(len(out), maxNeighbourProbes)]
 }
 
 func shuffle(list []*endpoint.Endpoint) {
--- /dev/null
+++ b/internal/quarantine/investigation.go
@@ -0,0 +1,39 @@
+package quarantine
+
+import "time"
+
+// causeTTL is how long the cause of an ending is remembered, because the connections of an endpoint's requests do not
+// all break at the same instant.
+const causeTTL = time.Second
+
+// endCause is the reason why connections to an endpoint broke.
+type endCause string
+
+const (
+	noEndFound         endCause = "it lives, or nothing is known"
+	endedWhileDraining endCause = "it was leaving"
+	endedWithDomain    endCause = "its domain was lost"
+	endedAlone         endCause = "alone, under its requests"
+)
+
+// investigation collects the requests affected by broken connections to one endpoint while the cause is being determined.
+type investigation struct {
+	requests []Fingerprint
+	resent   []Fingerprint // requests that another endpoint had failed before
+	cause    endCause      // empty until it is determined
+	start    time.Time     // when the first connection failed
+}
+
+// fresh reports whether the cause also applies to a connection that breaks at now.
+func (o *investigation) fresh(now time.Time) bool {
+	return o.cause == "" || now.Sub(o.start) < causeTTL
+}
+
+// add adds a request that was sent to the endpoint; resent means that another endpoint had failed it before.
+func (o *investigation) add(f Fingerprint, resent bool) {
+	if resent {
+		o.resent = append(o.resent, f)
+		return
+	}
+	o.requests = append(o.requests, f)
+}
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -15,80 +15,81 @@
 	"moorrun.dev/moorrun/internal/loop"
 )
 
-// keepEvery is how often the leader looks whether the list in the store has to be written. Nodes that are killed all at
-// once lose what they have held back for less.
-const keepEvery = 500 * time.Millisecond
+// syncInterval is how often the leader checks whether the stored list must be written. If all nodes are killed at once, they
+// lose at most the holds of the last interval.
+const syncInterval = 500 * time.Millisecond
 
 const (
-	// aloneFrom is how long a node hears no other until it goes by the store. Nodes that start hear each other sooner.
-	aloneFrom = 1500 * time.Millisecond
-	// aloneEvery is how often it then reads the list: the others may hold back what it has not seen, and write it within
-	// keepEvery. A cut of five seconds costs a node four calls.
-	aloneEvery = time.Second
+	// isolationDelay is how long a node must have heard no other before it relies on the store. Starting nodes hear each
+	// other sooner.
+	isolationDelay = 1500 * time.Millisecond
+	// isolatedSyncInterval is how often an isolated node reads the stored list: other nodes may hold requests back that it
+	// has not learned of, and write them within syncInterval. A network partition of five seconds costs a node four calls.
+	isolatedSyncInterval = time.Second
 )
 
-// Keeper keeps the list of held requests in the platform's store, so that it outlives a loss of all nodes. The leader
-// writes it when it has changed; each process reads it once when it starts, and a leader once more at the beginning of its
-// tenure. Between living nodes it goes by their beats, whether the store answers or not; a node that hears no other reads
-// and writes the list as a leader does.
+// Keeper maintains the list of held requests in the platform's object store, where it survives the loss of all nodes. The
+// leader writes the list when it has changed. Each process reads it once at startup, and a leader again at the beginning of
+// each epoch. Otherwise nodes exchange holds in their heartbeats, whether or not the store is available. A node that hears no
+// other node reads and writes the list as a leader does.
 type Keeper struct {
 	Table   *Table
 	Objects infra.ObjectStore
-	// Recent lists the objects below a prefix for less; what it returns may be some seconds old.
+	// Recent lists the objects with a prefix at a lower cost than ObjectStore; the result may be some seconds old.
 	Recent func(ctx context.Context, prefix string) (infra.Listing, error)
-	// Leads returns the epoch of this node's tenure, zero while it does not lead.
+	// Leads returns the epoch in which this node is the leader, or zero if it is not the leader.
 	Leads func(now time.Time) int64
-	// Alone reports whether this node hears no other one.
+	// Alone reports whether this node hears no other node.
 	Alone  func(now time.Time) bool
 	Logger log.Logger
-	// FirstStart says that the fleet starts for the first time: there is nothing to restore.
+	// FirstStart means that the fleet starts for the first time, so that there is no list to restore.
 	FirstStart bool
 
-	restored bool
-	alone    time.Time // since when; zero if it is not
-	looked   time.Time // the list was last read while alone
-	tenure   int64     // for which the list was read
-	version  int64     // of the store's object; zero if there is none
-	written  map[Fingerprint]keptHold
+	restored         bool
+	isolatedSince    time.Time // zero if this node leads or hears another node
+	lastIsolatedSync time.Time // when an isolated node last read the list
+	loadedEpoch      int64     // epoch for which the list was read
+	version          int64     // version of the stored object; zero if there is none
+	written          map[Fingerprint]writtenHold
 }
 
-// keptHold is what the store has of one held request.
-type keptHold struct {
-	endings int
-	until   time.Time
+// writtenHold is the state of one held request in the store.
+type writtenHold struct {
+	endingCount int
+	until       time.Time
 }
 
-// Run keeps the list until ctx ends.
+// Run maintains the stored list until ctx is done.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.restored = k.FirstStart
-	loop.Every(ctx, keepEvery, func(now time.Time) {
+	loop.Every(ctx, syncInterval, func(now time.Time) {
 		if !k.restored {
 			k.restored = k.restore(ctx)
 		}
 		if epoch := k.Leads(now); epoch > 0 {
-			k.lead(ctx, epoch)
+			k.syncList(ctx, epoch)
 		}
-		if k.isAlone(now) && now.Sub(k.looked) >= aloneEvery {
-			k.looked = now
-			k.lead(ctx, 0)
+		if k.isIsolated(now) && now.Sub(k.lastIsolatedSync) >= isolatedSyncInterval {
+			k.lastIsolatedSync = now
+			k.syncList(ctx, 0)
 		}
 	})
 	return nil
 }
 
-// isAlone reports whether this node has heard no other for some time and does not lead.
-func (k *Keeper) isAlone(now time.Time) bool {
+// isIsolated reports whether this node does not lead and has heard no other node for isolationDelay.
+func (k *Keeper) isIsolated(now time.Time) bool {
 	if k.Leads(now) > 0 || !k.Alone(now) {
-		k.alone = time.Time{}
+		k.isolatedSince = time.Time{}
 		return false
 	}
-	if k.alone.IsZero() {
-		k.alone = now
+	if k.isolatedSince.IsZero() {
+		k.isolatedSince = now
 	}
-	return now.Sub(k.alone) >= aloneFrom
+	return now.Sub(k.isolatedSince) >= isolationDelay
 }
 
-// restore takes in the list that an earlier life of the fleet may have left, and reports whether the store has answered.
+// restore merges the list left from before a restart, if any, and reports whether the store answered.
 func (k *Keeper) restore(ctx context.Context) bool {
 	l, err := k.Recent(ctx, keys.Quarantine)
 	if err != nil {
@@ -96,48 +97,48 @@
 	}
 	for _, o := range l.Objects {
 		if o.Key == keys.Held {
-			k.take(o)
+			k.mergeObject(o)
 		}
 	}
 	return true
 }
 
-// take merges the store's list into the table.
-func (k *Keeper) take(o infra.Object) {
-	records, err := Records(o.Value, clock.Now())
+// mergeObject merges a stored list into the table.
+func (k *Keeper) mergeObject(o infra.Object) {
+	records, err := ParseStoredList(o.Value, clock.Now())
 	if err != nil {
-		_ = level.Error(k.Logger).Log("msg", "the list of held requests cannot be read and is replaced", "key", o.Key, "err", err)
+		_ = level.Error(k.Logger).Log("msg", "stored list of held requests is unreadable and will be replaced", "key", o.Key, "err", err)
 		return
 	}
 	k.Table.Merge(records, Source{}, clock.Now())
 }
 
-// lead reads the list at the beginning of a tenure, or each time if there is none, and writes it when it has changed.
-func (k *Keeper) lead(ctx context.Context, epoch int64) {
-	if (epoch == 0 || k.tenure != epoch) && !k.read(ctx) {
+// syncList reads the list at the beginning of an epoch, or every time if epoch is zero, and writes it if it has changed.
+func (k *Keeper) syncList(ctx context.Context, epoch int64) {
+	if (epoch == 0 || k.loadedEpoch != epoch) && !k.load(ctx) {
 		return
 	}
-	k.tenure = epoch
+	k.loadedEpoch = epoch
 	now := clock.Now()
 	holds := k.Table.Holds(now)
-	if !k.changed(holds, now) {
+	if !k.differsFromStore(holds, now) {
 		return
 	}
-	outcome, version, err := k.Objects.Put(ctx, keys.Held, Keep(holds, now), k.version)
+	outcome, version, err := k.Objects.Put(ctx, keys.Held, NewStoredList(holds, now), k.version)
 	if outcome != infra.Applied {
-		k.tenure = 0 // read it again: another leader may have written, or the answer was lost
-		_ = level.Warn(k.Logger).Log("msg", "the list of held requests was not written", "key", keys.Held, "err", err)
+		k.loadedEpoch = 0 // read again: another leader may have written the list, or the reply was lost
+		_ = level.Warn(k.Logger).Log("msg", "writing the list of held requests failed", "key", keys.Held, "err", err)
 		return
 	}
 	k.version = version
-	k.written = make(map[Fingerprint]keptHold, len(holds))
+	k.written = make(map[Fingerprint]writtenHold, len(holds))
 	for _, r := range holds {
-		k.written[r.Fingerprint] = keptHold{len(r.Endings), now.Add(r.Hold)}
+		k.written[r.Fingerprint] = writtenHold{len(r.Endings), now.Add(r.Hold)}
 	}
 }
 
-// read reads the list and reports whether the store has answered.
-func (k *Keeper) read(ctx context.Context) bool {
+// load reads the list and reports whether the store answered.
+func (k *Keeper) load(ctx context.Context) bool {
 	o, err := k.Objects.Get(ctx, keys.Held)
 	k.written = nil
 	switch {
@@ -147,35 +148,35 @@
 		return false
 	default:
 		k.version = o.Version
-		k.take(o)
-		k.written = writtenIn(o)
+		k.mergeObject(o)
+		k.written = holdsIn(o)
 	}
 	return true
 }
 
-// writtenIn returns what the store's list holds.
-func writtenIn(o infra.Object) map[Fingerprint]keptHold {
-	records, err := Records(o.Value, clock.Now())
+// holdsIn returns the holds in a stored list.
+func holdsIn(o infra.Object) map[Fingerprint]writtenHold {
+	records, err := ParseStoredList(o.Value, clock.Now())
 	if err != nil {
-		return nil // said where it was taken in
+		return nil // mergeObject has logged the error
 	}
 	now := clock.Now()
-	out := make(map[Fingerprint]keptHold, len(records))
+	out := make(map[Fingerprint]writtenHold, len(records))
 	for _, r := range records {
-		out[r.Fingerprint] = keptHold{len(r.Endings), now.Add(r.Hold)}
+		out[r.Fingerprint] = writtenHold{len(r.Endings), now.Add(r.Hold)}
 	}
 	return out
 }
 
-// changed reports whether the store's list tells something else than what is held back now.
-func (k *Keeper) changed(holds []Record, now time.Time) bool {
-	gone := maps.Clone(k.written)
+// differsFromStore reports whether the holds differ from those in the stored list by more than holdTolerance.
+func (k *Keeper) differsFromStore(holds []Record, now time.Time) bool {
+	removed := maps.Clone(k.written)
 	for _, r := range holds {
 		w, known := k.written[r.Fingerprint]
-		if !known || w.endings != len(r.Endings) || now.Add(r.Hold).Sub(w.until) > holdSlack {
+		if !known || w.endingCount != len(r.Endings) || now.Add(r.Hold).Sub(w.until) > holdTolerance {
 			return true
 		}
-		delete(gone, r.Fingerprint)
+		delete(removed, r.Fingerprint)
 	}
-	return len(gone) > 0
+	return len(removed) > 0
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -17,40 +17,40 @@
 	"moorrun.dev/moorrun/internal/quarantine"
 )
 
-// store holds one object and counts the calls.
+// store is an object store that holds one object and counts calls.
 type store struct {
-	infra.ObjectStore // what is not used here panics
+	infra.ObjectStore // methods that are not overridden panic
 
-	mu     sync.Mutex
-	object infra.Object
-	alone  bool // the node that asks hears no other
-	down   bool
-	lose   bool // the next write is applied and not answered
-	reads  int
-	writes int
+	mu          sync.Mutex
+	object      infra.Object
+	isolated    bool // the node under test hears no other node
+	unavailable bool
+	loseReply   bool // the next write is applied, but its reply is lost
+	reads       int
+	writes      int
 }
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("store unavailable")
 
 func (s *store) Get(context.Context, string) (infra.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
 	switch {
-	case s.down:
-		return infra.Object{}, errDown
+	case s.unavailable:
+		return infra.Object{}, errUnavailable
 	case s.object.Version == 0:
 		return infra.Object{}, infra.ErrNotFound
 	}
 	return s.object, nil
 }
 
-func (s *store) recent(context.Context, string) (infra.Listing, error) {
+func (s *store) listRecent(context.Context, string) (infra.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	if s.down {
-		return infra.Listing{}, errDown
+	if s.unavailable {
+		return infra.Listing{}, errUnavailable
 	}
 	if s.object.Version == 0 {
 		return infra.Listing{}, nil
@@ -62,8 +62,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes++
-	if s.down {
-		return infra.Unknown, 0, errDown
+	if s.unavailable {
+		return infra.Unknown, 0, errUnavailable
 	}
 	if ifVersion != s.object.Version {
 		return infra.NotApplied, 0, nil
@@ -73,19 +73,20 @@
 		return infra.NotApplied, 0, err
 	}
 	s.object = infra.Object{Key: key, Version: s.object.Version + 1, Value: content}
-	if s.lose {
-		s.lose = false
-		return infra.Unknown, 0, errDown
+	if s.loseReply {
+		s.loseReply = false
+		return infra.Unknown, 0, errUnavailable
 	}
 	return infra.Applied, s.object.Version, nil
 }
 
-// life runs a keeper for some time, leading with that epoch or not at all.
-func (s *store) life(table *quarantine.Table, epoch int64, d time.Duration, during ...func()) {
+// runKeeper runs a Keeper while it calls the functions in during, and for d after that. The Keeper leads in the given epoch,
+// or not at all if it is zero.
+func (s *store) runKeeper(table *quarantine.Table, epoch int64, d time.Duration, during ...func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	k := &quarantine.Keeper{
-		Table: table, Objects: s, Recent: s.recent, Leads: func(time.Time) int64 { return epoch }, Alone: func(time.Time) bool { return s.alone }, Logger: log.NewNopLogger(),
+		Table: table, Objects: s, Recent: s.listRecent, Leads: func(time.Time) int64 { return epoch }, Alone: func(time.Time) bool { return s.isolated }, Logger: log.NewNopLogger(),
 	}
 	go func() { _ = k.Run(ctx) }()
 	for _, do := range during {
@@ -96,16 +97,16 @@
 	synctest.Wait()
 }
 
-func TestHeldRequestsOutliveALossOfAllNodes(t *testing.T) {
+func TestHeldRequestsSurviveLossOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		table := quarantine.NewTable()
-		s.life(table, 1, 2*time.Second, func() { ended(table, 1, 3, deadly) })
+		s.runKeeper(table, 1, 2*time.Second, func() { recordEndings(table, 1, 3, poison) })
 		qt.Check(t, s.writes, qt.Equals, 1)
-		after := quarantine.NewTable()
-		s.life(after, 0, time.Second)
-		qt.Check(t, isHeld(after, deadly), qt.IsTrue)
-		qt.Check(t, s.writes, qt.Equals, 1, qt.Commentf("who does not lead writes nothing"))
+		restarted := quarantine.NewTable()
+		s.runKeeper(restarted, 0, time.Second)
+		qt.Check(t, isHeld(restarted, poison), qt.IsTrue)
+		qt.Check(t, s.writes, qt.Equals, 1, qt.Commentf("a node that does not lead writes nothing"))
 	})
 }
 
@@ -113,56 +114,56 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		table := quarantine.NewTable()
-		s.life(table, 1, time.Minute, func() { ended(table, 1, 2, deadly) })
+		s.runKeeper(table, 1, time.Minute, func() { recordEndings(table, 1, 2, poison) })
 		qt.Check(t, s.writes, qt.Equals, 0)
-		qt.Check(t, s.reads, qt.Equals, 2, qt.Commentf("once at the start, and once for the tenure"))
+		qt.Check(t, s.reads, qt.Equals, 2, qt.Commentf("once at startup, and once for the epoch"))
 	})
 }
 
-func TestListIsKeptThoughTheStoreFailsAndLeadersChange(t *testing.T) {
+func TestStoredListSurvivesStoreFailureAndLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{down: true}
+		s := &store{unavailable: true}
 		first := quarantine.NewTable()
-		s.life(first, 1, 5*time.Second, func() {
-			ended(first, 1, 3, deadly)
+		s.runKeeper(first, 1, 5*time.Second, func() {
+			recordEndings(first, 1, 3, poison)
 			time.Sleep(3 * time.Second)
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.down, s.lose = false, true
+			s.unavailable, s.loseReply = false, true
 		})
-		qt.Check(t, s.object.Version, qt.Equals, int64(1), qt.Commentf("a lost answer is found by reading"))
+		qt.Check(t, s.object.Version, qt.Equals, int64(1), qt.Commentf("a write whose reply was lost is detected by reading"))
 		second := quarantine.NewTable()
-		s.life(second, 2, 2*time.Second, func() { ended(second, 5, 7, other) })
-		records, err := quarantine.Records(s.object.Value, time.Now())
+		s.runKeeper(second, 2, 2*time.Second, func() { recordEndings(second, 5, 7, other) })
+		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, records, qt.HasLen, 2, qt.Commentf("a new leader adds to what an earlier one has left"))
+		qt.Check(t, records, qt.HasLen, 2, qt.Commentf("a new leader keeps the holds written by an earlier one"))
 	})
 }
 
-func TestListShrinksAsHoldsRunOutAndAForeignOneIsReplaced(t *testing.T) {
+func TestExpiredHoldsAreRemovedAndUnreadableListIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{object: infra.Object{Key: keys.Held, Version: 4, Value: []byte(`{"requests":"none"}`)}}
 		table := quarantine.NewTable()
-		s.life(table, 1, 2*time.Minute, func() { ended(table, 1, 3, deadly) })
-		records, err := quarantine.Records(s.object.Value, time.Now())
+		s.runKeeper(table, 1, 2*time.Minute, func() { recordEndings(table, 1, 3, poison) })
+		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, records, qt.HasLen, 0)
 		qt.Check(t, s.writes, qt.Equals, 2)
 	})
 }
 
-// A node that is cut off from all others reaches endpoints still, and is sent the request.
-func TestNodeThatHearsNoOtherGoesByTheStore(t *testing.T) {
+// A node that is partitioned from all other nodes still reaches endpoints and may be sent the held request.
+func TestIsolatedNodeSyncsWithStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
-		others, alone := quarantine.NewTable(), quarantine.NewTable()
-		s.life(others, 1, time.Second, func() { ended(others, 1, 3, deadly) })
-		s.alone = true
-		s.life(alone, 0, 5*time.Second, func() { ended(alone, 5, 7, other) })
-		qt.Check(t, isHeld(alone, deadly), qt.IsTrue)
+		others, isolated := quarantine.NewTable(), quarantine.NewTable()
+		s.runKeeper(others, 1, time.Second, func() { recordEndings(others, 1, 3, poison) })
+		s.isolated = true
+		s.runKeeper(isolated, 0, 5*time.Second, func() { recordEndings(isolated, 5, 7, other) })
+		qt.Check(t, isHeld(isolated, poison), qt.IsTrue)
 		qt.Check(t, s.reads < 10, qt.IsTrue, qt.Commentf("%d reads", s.reads))
-		records, err := quarantine.Records(s.object.Value, time.Now())
+		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, records, qt.HasLen, 2, qt.Commentf("the others learn what it has found"))
+		qt.Check(t, records, qt.HasLen, 2, qt.Commentf("holds of the isolated node are written for the others"))
 	})
 }
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -1,26 +1,27 @@
 package quarantine
 
-// recentSize is how many requests are remembered at least as answered, some 200 KB. At 230 requests a second, a node's share
-// at the size to come, that is the last nine seconds; what many callers ask for comes again sooner.
-const recentSize = 2048
+// recentGenerationSize is the minimum number of answered requests that are remembered; they take about 200 KB. At 230
+// requests per second, a node's expected share at the planned fleet size, it covers the last nine seconds. Requests that many
+// callers send are repeated sooner.
+const recentGenerationSize = 2048
 
-// recent remembers the fingerprints that were put in last: at least recentSize, at most twice as many.
-type recent struct {
-	young, old map[Fingerprint]struct{}
+// recentSet remembers the most recently added fingerprints: at least recentGenerationSize, at most twice as many.
+type recentSet struct {
+	current, previous map[Fingerprint]struct{}
 }
 
-func (r *recent) put(f Fingerprint) {
-	if r.young == nil || len(r.young) >= recentSize {
-		r.old = r.young
-		r.young = make(map[Fingerprint]struct{}, recentSize)
+func (r *recentSet) add(f Fingerprint) {
+	if r.current == nil || len(r.current) >= recentGenerationSize {
+		r.previous = r.current
+		r.current = make(map[Fingerprint]struct{}, recentGenerationSize)
 	}
-	r.young[f] = struct{}{}
+	r.current[f] = struct{}{}
 }
 
-func (r *recent) has(f Fingerprint) bool {
-	if _, ok := r.young[f]; ok {
+func (r *recentSet) has(f Fingerprint) bool {
+	if _, ok := r.current[f]; ok {
 		return true
 	}
-	_, ok := r.old[f]
+	_, ok := r.previous[f]
 	return ok
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -8,62 +8,63 @@
 	"moorrun.dev/moorrun/internal/endpoint"
 )
 
-// Ending is the end of one life of an endpoint. Life and Domain are four bytes of a hash each: that two lives of the few
-// under one request are taken for one happens once in some 10^9.
+// Ending is the termination of one process of an endpoint. Life and Domain are 32-bit hashes: two of the few lives recorded
+// for a request collide with a probability of about 1 in 10^9.
 type Ending struct {
-	Life   uint32
-	Domain uint32 // what is lost together with it: its fabric domain, or its data centre if it is in none
+	Life   uint32 // hash of the endpoint id, which differs for each start of its process
+	Domain uint32 // hash of the fabric domain, or of the data centre if there is none; its endpoints can be lost together
 	At     time.Time
 }
 
-// EndingOf returns the ending of that life of the endpoint, noticed at that instant.
+// EndingOf returns the ending of the endpoint's current process, noticed at the given time.
 func EndingOf(e *endpoint.Endpoint, at time.Time) Ending {
 	domain := "domain/" + e.Domain
 	if e.Domain == "" {
 		domain = "data centre/" + e.Zone
 	}
-	return Ending{Life: lifeOf(e), Domain: hash(domain), At: at}
+	return Ending{Life: lifeHash(e), Domain: hash(domain), At: at}
 }
 
-// apart returns the ending as an incident of its own: of an endpoint to which the request was sent after another one had
-// failed it. What is lost together is lost before that.
-func (e Ending) apart() Ending {
+// asSeparateIncident returns the ending in a domain of its own, so that it is counted separately. It is used for endpoints
+// that received the request after another endpoint had failed it: endpoints lost with their domain end before that.
+func (e Ending) asSeparateIncident() Ending {
 	e.Domain = e.Life
 	return e
 }
 
-func lifeOf(e *endpoint.Endpoint) uint32 { return hash(e.ID) }
+func lifeHash(e *endpoint.Endpoint) uint32 { return hash(e.ID) }
 
-func hash(s string) uint32 { return uint32(xxhash.Sum64String(s)) } //nolint:gosec // four bytes are wanted
+func hash(s string) uint32 { return uint32(xxhash.Sum64String(s)) } //nolint:gosec // truncated to 32 bits on purpose
 
-// together is within what endpoints of one domain end that are lost together, such as those of a rack. Endings are told with
-// an age that is some tenths of a second off.
-const together = 500 * time.Millisecond
+// sameIncidentWindow is the maximum time between endings in one domain that are counted as a common loss, such as that of a
+// rack. Nodes exchange the ages of endings, which are inaccurate by some tenths of a second.
+const sameIncidentWindow = 500 * time.Millisecond
 
-// incidents counts endings, and those of one domain at about the same time as one. They are in order of time.
-func incidents(endings []Ending) int {
+// countIncidents returns the number of incidents in endings, which are sorted by time. Endings in one domain within
+// sameIncidentWindow of the first are one incident.
+func countIncidents(endings []Ending) int {
 	count := 0
-	last := make(map[uint32]time.Time, len(endings)) // that was counted, by domain
+	lastCounted := make(map[uint32]time.Time, len(endings)) // time of the last counted ending, by domain
 	for _, e := range endings {
-		at, known := last[e.Domain]
-		if known && e.At.Sub(at) < together {
+		at, known := lastCounted[e.Domain]
+		if known && e.At.Sub(at) < sameIncidentWindow {
 			continue
 		}
-		last[e.Domain] = e.At
+		lastCounted[e.Domain] = e.At
 		count++
 	}
 	return count
 }
 
-// maxEndings bounds the endings kept of one request. It is held back long before; more of them say for how long, and which
-// endings it explains.
+// maxEndings is the maximum number of endings kept for each request. A request is held back at far fewer; further endings
+// determine how long it is held and which endings of other requests it explains.
 const maxEndings = 16
 
-// Record is what nodes tell each other of one request.
+// Record is the state of one request as nodes exchange it.
 type Record struct {
 	Fingerprint Fingerprint
-	Endings     []Ending      // of endpoints that were running it
-	Answered    bool          // an endpoint has answered it whole, so it is not one that ends each endpoint
-	Hold        time.Duration // that is left of its being held back; zero if it is not
-	Age         time.Duration // since the last ending or answer was noted
+	Endings     []Ending      // of endpoints that were running the request
+	Answered    bool          // an endpoint has answered it completely, so it does not end every endpoint
+	Hold        time.Duration // remaining time for which it is held back; zero if it is not
+	Age         time.Duration // time since the last ending or answer was recorded
 }
--- a/internal/quarantine/source.go
+++ b/internal/quarantine/source.go
@@ -1,7 +1,7 @@
 package quarantine
 
-// Source is the node that has told of a change.
+// Source is the node from which a change was received.
 type Source struct {
-	VM    string // empty if the change was found here
-	Relay bool   // it tells all other relays, too
+	VM    string // empty if this node made the change itself
+	Relay bool   // the node is a relay, which also informs all other relays
 }
--- /dev/null
+++ b/internal/quarantine/stored_list.go
@@ -0,0 +1,74 @@
+package quarantine
+
+import (
+	"encoding/json"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/zeebo/errs"
+)
+
+// storedError is the class of errors about the stored list.
+var storedError = errs.Class("quarantine")
+
+// maxStoredRequests is the maximum number of requests in the stored list, which is about 30 KB of JSON.
+const maxStoredRequests = 256
+
+// StoredList is the list of held requests in the platform's object store, where it survives the loss of all nodes.
+type StoredList struct {
+	Requests []StoredRequest `json:"requests"`
+}
+
+// StoredRequest is one held request. Clocks cannot be compared across restarts of the fleet, so the remaining hold counts
+// from when the list is read.
+type StoredRequest struct {
+	Fingerprint string         `json:"fingerprint"`
+	Endings     []StoredEnding `json:"endings"`
+	HoldMillis  int64          `json:"hold_ms"`
+}
+
+// StoredEnding is an Ending with its age at the time of writing.
+type StoredEnding struct {
+	Life      uint32 `json:"life"`
+	Domain    uint32 `json:"domain"`
+	AgeMillis int64  `json:"age_ms"`
+}
+
+// NewStoredList returns up to maxStoredRequests records in stored form, those with the most endings first.
+func NewStoredList(records []Record, now time.Time) StoredList {
+	sorted := slices.Clone(records)
+	slices.SortStableFunc(sorted, func(a, b Record) int { return len(b.Endings) - len(a.Endings) })
+	k := StoredList{Requests: []StoredRequest{}}
+	for _, r := range sorted[:min(len(sorted), maxStoredRequests)] {
+		stored := StoredRequest{Fingerprint: r.Fingerprint.String(), HoldMillis: r.Hold.Milliseconds()}
+		for _, e := range r.Endings {
+			stored.Endings = append(stored.Endings, StoredEnding{e.Life, e.Domain, now.Sub(e.At).Milliseconds()})
+		}
+		k.Requests = append(k.Requests, stored)
+	}
+	return k
+}
+
+// ParseStoredList parses a stored list; ages and remaining holds count from now.
+func ParseStoredList(content []byte, now time.Time) ([]Record, error) {
+	var k StoredList
+	if err := json.Unmarshal(content, &k); err != nil {
+		return nil, storedError.Wrap(err)
+	}
+	out := make([]Record, 0, len(k.Requests))
+	for _, r := range k.Requests {
+		f, err := strconv.ParseUint(r.Fingerprint, 16, 64)
+		if err != nil {
+			return nil, storedError.New("fingerprint %q is not a hexadecimal number of 16 digits", r.Fingerprint)
+		}
+		hold := min(time.Duration(r.HoldMillis)*time.Millisecond, maxHold)
+		record := Record{Fingerprint: Fingerprint(f), Hold: hold}
+		for _, e := range r.Endings {
+			at := now.Add(-time.Duration(e.AgeMillis) * time.Millisecond)
+			record.Endings = append(record.Endings, Ending{Life: e.Life, Domain: e.Domain, At: at})
+		}
+		out = append(out, record)
+	}
+	return out, nil
+}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// maxEntries bounds a Table, some 250 KB. The end of a full endpoint makes some 20 entries, so that is 50 endings within
-// keepFor.
+// maxEntries is the maximum number of entries in a Table, which takes about 250 KB. The ending of a fully loaded endpoint
+// adds about 20 entries, so that this suffices for 50 endings within entryTTL.
 const maxEntries = 1024
 
-// Table is what one node knows of requests under which endpoints have ended. What several nodes know adds up: endings are
-// a set, and whatever order they are told in, all come to know the same.
+// Table holds what one node knows of requests under which endpoints have ended. Endings are merged as a set, so that all
+// nodes arrive at the same state whatever the order of their messages.
 type Table struct {
-	// OnHeld is called when a request begins to be held back; it must not block. Nil if nobody needs to be told.
+	// OnHeld is called when a request begins to be held back; it must not block. It may be nil.
 	OnHeld func(r Record)
 
-	mu       sync.Mutex
-	entries  map[Fingerprint]*entry
-	sequence uint64 // grows with each change
-	recent   recent
-	digest   uint64 // of what is suspected,
-	digested uint64 // as of that sequence
+	mu             sync.Mutex
+	entries        map[Fingerprint]*entry
+	sequence       uint64 // incremented with each change
+	recentAnswers  recentSet
+	digest         uint64 // of the suspected requests,
+	digestSequence uint64 // at this sequence
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table { return &Table{entries: make(map[Fingerprint]*entry)} }
 
-// Ended notes that an endpoint has ended while it was running those requests, for no reason that is known, and reports
-// whether one of them begins to be held back.
+// Ended records that an endpoint ended for no known other reason while it was running the requests, and reports whether any
+// of them is newly held back.
 func (t *Table) Ended(ending Ending, running []Fingerprint, now time.Time) bool {
 	held := false
 	for _, f := range running {
@@ -38,10 +38,10 @@
 	return held
 }
 
-// Answered notes that an endpoint has answered the request whole.
+// Answered records that an endpoint has answered the request completely.
 func (t *Table) Answered(f Fingerprint, now time.Time) {
 	t.mu.Lock()
-	t.recent.put(f)
+	t.recentAnswers.add(f)
 	_, known := t.entries[f]
 	t.mu.Unlock()
 	if known {
@@ -49,27 +49,27 @@
 	}
 }
 
-// change applies update, which reports whether anything is new, to the entry of a request. It reports whether the request
-// begins to be held back.
+// change applies update, which reports whether it changed the entry, to the entry of a request. It reports whether the
+// request is newly held back.
 func (t *Table) change(f Fingerprint, now time.Time, update func(e *entry) bool) bool {
 	t.mu.Lock()
 	e, known := t.entries[f]
 	if !known {
 		e = &entry{}
 	}
-	was := e.suspected()
-	news := update(e)
-	if t.recent.has(f) && !e.answered {
-		e.answered, news = true, true
+	wasSuspected := e.suspected()
+	changed := update(e)
+	if t.recentAnswers.has(f) && !e.answered {
+		e.answered, changed = true, true
 	}
-	if !news {
+	if !changed {
 		t.mu.Unlock()
 		return false
 	}
-	e.prolong(now)
-	e.touched = now
-	t.store(f, e, Source{}, now)
-	held := !was && e.suspected()
+	e.extendHold(now)
+	e.updatedAt = now
+	t.commit(f, e, Source{}, now)
+	held := !wasSuspected && e.suspected()
 	record := e.record(f, now)
 	t.mu.Unlock()
 	if held && t.OnHeld != nil {
@@ -78,8 +78,8 @@
 	return held
 }
 
-// store notes a change of an entry; the lock is held.
-func (t *Table) store(f Fingerprint, e *entry, source Source, now time.Time) {
+// commit records that an entry was changed by source. The caller holds t.mu.
+func (t *Table) commit(f Fingerprint, e *entry, source Source, now time.Time) {
 	if _, known := t.entries[f]; !known {
 		t.makeRoom(now)
 		t.entries[f] = e
@@ -87,11 +87,12 @@
 	t.sequence++
 	e.sequence, e.source = t.sequence, source
 	if !source.Relay {
-		e.found = t.sequence
+		e.nonRelaySequence = t.sequence
 	}
 }
 
-// makeRoom drops what has expired and, of a full table, the entry with the fewest endings that was changed longest ago.
+// makeRoom drops expired entries from a full table. If none has expired, it drops the entry with the fewest endings and,
+// among those, the one that was updated longest ago.
 func (t *Table) makeRoom(now time.Time) {
 	if len(t.entries) < maxEntries {
 		return
@@ -100,17 +101,17 @@
 	if len(t.entries) < maxEntries {
 		return
 	}
-	var least Fingerprint
-	var of *entry
+	var evicted Fingerprint
+	var evictedEntry *entry
 	for f, e := range t.entries {
-		if of == nil || cmp.Or(cmp.Compare(len(e.endings), len(of.endings)), e.touched.Compare(of.touched)) < 0 {
-			least, of = f, e
+		if evictedEntry == nil || cmp.Or(cmp.Compare(len(e.endings), len(evictedEntry.endings)), e.updatedAt.Compare(evictedEntry.updatedAt)) < 0 {
+			evicted, evictedEntry = f, e
 		}
 	}
-	delete(t.entries, least)
+	delete(t.entries, evicted)
 }
 
-// Sweep drops what has expired.
+// Sweep drops expired entries.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,8 +126,8 @@
 	}
 }
 
-// Held reports whether an attempt of the request is to be held back, and for how long from now on. Attempts that are held
-// back keep the hold from running out.
+// Held reports whether an attempt of the request must be held back, and for how long from now. Attempts that are held back
+// renew the hold.
 func (t *Table) Held(f Fingerprint, now time.Time) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,42 +135,42 @@
 	if e == nil || !t.held(e, now) {
 		return 0, false
 	}
-	left := e.until.Sub(now)
-	if hold := holdFor(incidents(e.endings)); left < time.Duration(renewFrom*float64(hold)) {
-		e.until = now.Add(hold)
-		t.store(f, e, Source{}, now)
-		left = hold
+	remaining := e.heldUntil.Sub(now)
+	if hold := holdDuration(countIncidents(e.endings)); remaining < time.Duration(renewThreshold*float64(hold)) {
+		e.heldUntil = now.Add(hold)
+		t.commit(f, e, Source{}, now)
+		remaining = hold
 	}
-	return left, true
+	return remaining, true
 }
 
-// held reports whether a request is held back: enough endpoints have ended under it, not counting those that another one
-// explains.
+// held reports whether a request is held back: enough endpoints have ended under it, not counting endings that another
+// request explains.
 func (t *Table) held(e *entry, now time.Time) bool {
-	if !e.suspected() || !now.Before(e.until) {
+	if !e.suspected() || !now.Before(e.heldUntil) {
 		return false
 	}
-	var own []Ending
+	var unexplained []Ending
 	for _, ending := range e.endings {
 		if !t.explained(ending, e) {
-			own = append(own, ending)
+			unexplained = append(unexplained, ending)
 		}
 	}
-	return incidents(own) >= endingsToHold
+	return countIncidents(unexplained) >= endingsToHold
 }
 
-// explained reports whether another request has ended the endpoint as far as can be known: one that is suspected itself,
-// of more endings. Whoever shared endpoints with a request that ends them is not held back for it.
+// explained reports whether another request is the more likely cause of the ending: a suspected one that has more endings,
+// including this one. Requests that merely shared endpoints with it are not held back.
 func (t *Table) explained(ending Ending, e *entry) bool {
 	for _, other := range t.entries {
-		if other.suspected() && len(other.endings) > len(e.endings) && other.has(ending) {
+		if other.suspected() && len(other.endings) > len(e.endings) && other.hasLife(ending) {
 			return true
 		}
 	}
 	return false
 }
 
-// Holds returns the requests that are held back now.
+// Holds returns the requests that are held back at now.
 func (t *Table) Holds(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
