--- a/internal/ratelimit/cold.go
+++ b/internal/ratelimit/cold.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// coldPeriod is the time within which a cold endpoint gets at most the requests that it bears in it, and coldSpan the
-	// window in which sendings are counted, which covers it.
+	// coldPeriod is the period in which a cold endpoint receives at most the number of requests that its rate allows.
+	// coldWindow is the window in which requests are counted; it is longer, so that it always covers coldPeriod.
 	coldPeriod = time.Second
-	coldSpan   = 1100 * time.Millisecond
-	// heardWithin is how long it may take until the other nodes' counts of an endpoint have arrived.
-	heardWithin = time.Second
+	coldWindow = 1100 * time.Millisecond
+	// peerCountsDelay is the maximum time until the other nodes' counts for an endpoint have arrived.
+	peerCountsDelay = time.Second
 )
 
-// Cold keeps nodes together within the rate of requests that endpoints bear in the first time after their start. It works as
-// Table does; the rate is known from the configuration.
+// Cold keeps all nodes together within the request rate that endpoints can take shortly after their start. It works like
+// Table, but the rate comes from the configuration.
 type Cold struct {
 	start time.Time
 
@@ -28,67 +28,67 @@
 
 // coldEndpoint is what this node has sent to one cold endpoint.
 type coldEndpoint struct {
-	counts counts
-	since  time.Time // this node sends to it
-	draw   float64   // from 0 to 1 by chance
+	counts         counts
+	firstRequestAt time.Time // when this node first had a request for the endpoint
+	roundingDraw   float64   // random number in [0, 1) that decides how a fractional share is rounded
 }
 
-// NewCold returns a Cold that knows of no endpoint; no time before start will be asked for.
+// NewCold returns a Cold without endpoints. Times passed to its methods must not be before start.
 func NewCold(start time.Time) *Cold {
 	return &Cold{start: start, endpoints: make(map[gossip.EndpointKey]*coldEndpoint)}
 }
 
-// Admit reports whether a request may be sent to a cold endpoint that bears perSecond requests a second, and counts it.
+// Admit reports whether a request may be sent to a cold endpoint that takes perSecond requests per second, and counts it.
 func (c *Cold) Admit(endpoint string, perSecond float64, others *gossip.Totals, now time.Time) bool {
 	key := gossip.KeyOf(endpoint)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.endpoints[key]
 	if e == nil {
-		e = &coldEndpoint{counts: newCounts(coldSpan, c.start), since: now, draw: rand.Float64()} //nolint:gosec // a spread
+		e = &coldEndpoint{counts: newCounts(coldWindow, c.start), firstRequestAt: now, roundingDraw: rand.Float64()} //nolint:gosec // not security-relevant
 		c.endpoints[key] = e
 	}
 	allowed := perSecond * coldPeriod.Seconds()
 	var ok bool
-	if now.Sub(e.since) < heardWithin {
-		ok = e.inEvenPart(allowed/float64(others.Busy+1), now)
+	if now.Sub(e.firstRequestAt) < peerCountsDelay {
+		ok = e.fitsEvenShare(allowed/float64(others.Busy+1), now)
 	} else {
-		ok = e.counts.fit(allowed, others.Cold[key], rand.Float64(), now) //nolint:gosec // a spread
+		ok = e.counts.fits(allowed, others.Cold[key], rand.Float64(), now) //nolint:gosec // not security-relevant
 	}
 	e.counts.add(ok, now)
 	return ok
 }
 
-// inEvenPart reports whether a request keeps to this node's part of what all may send. Of a part that is no whole number the
-// rest is a chance.
-func (e *coldEndpoint) inEvenPart(part float64, now time.Time) bool {
-	return float64(e.counts.sent.Sum(now))+e.draw < part
+// fitsEvenShare reports whether a request fits this node's equal share of the allowed requests. A fractional share is rounded
+// up or down at random, with a probability that keeps its mean.
+func (e *coldEndpoint) fitsEvenShare(share float64, now time.Time) bool {
+	return float64(e.counts.sent.Sum(now))+e.roundingDraw < share
 }
 
-// Report returns what the other nodes are told.
+// Report returns this node's counts for the other nodes.
 func (c *Cold) Report(now time.Time) gossip.RateLimits {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out gossip.RateLimits
 	for key, e := range c.endpoints {
-		told := gossip.RateLimit{AsOf: now, Recent: e.counts.sent.Sum(now), Passed: e.counts.passed.Sum(now)}
-		if told.Recent+told.Passed == 0 {
+		report := gossip.RateLimit{AsOf: now, Recent: e.counts.sent.Sum(now), Passed: e.counts.withheld.Sum(now)}
+		if report.Recent+report.Passed == 0 {
 			continue
 		}
 		if out == nil {
 			out = make(gossip.RateLimits)
 		}
-		out[key] = told
+		out[key] = report
 	}
 	return out
 }
 
-// Sweep forgets endpoints that nothing was sent to lately.
+// Sweep removes endpoints for which no request was counted within coldWindow.
 func (c *Cold) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, e := range c.endpoints {
-		if e.counts.sent.Sum(now)+e.counts.passed.Sum(now) == 0 {
+		if e.counts.sent.Sum(now)+e.counts.withheld.Sum(now) == 0 {
 			delete(c.endpoints, key)
 		}
 	}
--- a/internal/ratelimit/counts.go
+++ b/internal/ratelimit/counts.go
@@ -7,30 +7,31 @@
 	"moorrun.dev/moorrun/internal/window"
 )
 
-// counts are the requests for one endpoint at this node.
+// counts holds this node's sliding-window counts of requests for one endpoint.
 type counts struct {
-	sent   *window.Counter
-	passed *window.Counter // that its limit kept from it
+	sent     *window.Counter
+	withheld *window.Counter // requests not sent because of the limit
 }
 
 func newCounts(span time.Duration, start time.Time) counts {
 	return counts{window.NewCounter(span, start), window.NewCounter(span, start)}
 }
 
-// fit reports whether one more request keeps all nodes together to what is allowed in the window. What the others send is known
-// a moment later only; so that nodes do not all take what is left at once, each takes by chance the part of its requests that
-// is allowed of those of all nodes. draw is from 0 to 1.
-func (c counts) fit(allowed float64, others gossip.RateLimit, draw float64, now time.Time) bool {
+// fits reports whether one more request keeps all nodes together within the number allowed per window. Counts of the other
+// nodes arrive with a delay. So that nodes do not all use the remaining capacity at once, a node sends a request only with
+// the probability allowed/wanted, where wanted is the number of requests that all nodes have sent or withheld, plus this one.
+// draw is a random number in [0, 1).
+func (c counts) fits(allowed float64, others gossip.RateLimit, draw float64, now time.Time) bool {
 	sent := c.sent.Sum(now)
-	wanted := 1 + sent + c.passed.Sum(now) + others.Recent + others.Passed
+	wanted := 1 + sent + c.withheld.Sum(now) + others.Recent + others.Passed
 	return float64(1+sent+others.Recent) <= allowed && draw*float64(wanted) < allowed
 }
 
-// add counts a request that was sent, or was not.
+// add counts a request as sent or as withheld.
 func (c counts) add(sent bool, now time.Time) {
 	if sent {
 		c.sent.Add(now)
 		return
 	}
-	c.passed.Add(now)
+	c.withheld.Add(now)
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -1,8 +1,8 @@
-// Package ratelimit keeps nodes together within the rates of requests that endpoints name in their answers.
+// Package ratelimit keeps all nodes together within the rate limits that endpoints name in their answers.
 //
-// Each node counts what it has lately sent to an endpoint and tells the others in its beats. A node sends to a limited endpoint
-// only as long as its own count and those of the others leave room, so that the limit is used wherever requests come in.
-// What was sent before the limit was named counts as well.
+// Each node counts the requests that it recently sent to an endpoint and reports the count to the others in its heartbeats. A
+// node sends to a limited endpoint only while its own count and those of the others are below the limit, so that any node can
+// use the whole limit. Requests sent before the limit was named are counted as well.
 package ratelimit
 
 import (
@@ -15,24 +15,25 @@
 )
 
 const (
-	// span is the time in which sendings are counted. It holds several requests of a limit as low as one a second.
-	span = 5 * time.Second
-	// settleFor is how long nothing is sent to an endpoint that has just named a limit: the other nodes' counts arrive
-	// meanwhile.
-	settleFor = time.Second
-	// toldFor is how long others are told what an endpoint's answer said. Each beat repeats it, as beats may be lost.
-	toldFor = 3 * time.Second
-	// keptFor is how long the limit of an endpoint is kept that says nothing more.
-	keptFor = time.Minute
+	// countingWindow is the window in which sent requests are counted. It spans several requests even at a limit of one per
+	// second.
+	countingWindow = 5 * time.Second
+	// settleDelay is how long no request is sent to an endpoint after it first names a limit, so that the counts of the other
+	// nodes can arrive.
+	settleDelay = time.Second
+	// reportPeriod is how long the limit in an endpoint's answer is reported to other nodes. Each heartbeat repeats it,
+	// because heartbeats may be lost.
+	reportPeriod = 3 * time.Second
+	// limitTTL is how long the limit of an endpoint is kept after the last answer that confirmed it.
+	limitTTL = time.Minute
 )
 
-// Table is what one node knows of the limits of endpoints, and what it has sent to endpoints.
+// Table holds the limits of endpoints that one node knows, and what it has sent to endpoints.
 type Table struct {
-	// Changed is called when an endpoint's answer names another limit than before, or none any more; it must not block. Nil
-	// if nobody needs to be told.
+	// Changed is called when an endpoint's answer changes or removes its limit; it must not block. It may be nil.
 	Changed func(endpoint string, l Limit)
 
-	// Draw returns a number from 0 to 1 by chance.
+	// Draw returns a random number in [0, 1).
 	Draw func() float64
 
 	start time.Time
@@ -42,31 +43,31 @@
 	sent   map[gossip.EndpointKey]*window.Counter
 }
 
-// entry is what is known of one endpoint's limit.
+// entry is the state of one endpoint's limit.
 type entry struct {
-	limit Limit
-	asOf  time.Time // the endpoint said so then
-	since time.Time // it has named a limit since then
-	heard time.Time // this node has last had an answer of the endpoint; zero if it knows from others
+	limit        Limit
+	asOf         time.Time // when the endpoint last named or removed the limit
+	limitedSince time.Time // when this node learned that the endpoint names a limit
+	lastAnswer   time.Time // last answer to this node that set the limit; zero if it is known only from other nodes
 
-	passed *window.Counter // requests that the limit kept from it
+	withheld *window.Counter // requests not sent because of the limit
 }
 
-// NewTable returns an empty Table; no time before start will be asked for.
+// NewTable returns an empty Table. Times passed to its methods must not be before start.
 func NewTable(start time.Time) *Table {
 	return &Table{Draw: rand.Float64, start: start, limits: make(map[gossip.EndpointKey]*entry), sent: make(map[gossip.EndpointKey]*window.Counter)}
 }
 
-// Said takes in what an endpoint's answer says of its limit, for a request that was sent at sent. An answer to a request that
-// was sent before the limit was named does not lift it.
+// Said records the limit in an endpoint's answer to a request that was sent at time sent. An answer without a limit is ignored
+// if its request was sent before the limit was last named.
 func (t *Table) Said(endpoint string, l Limit, sent, now time.Time) {
-	if t.hear(gossip.KeyOf(endpoint), l, sent, now) && t.Changed != nil {
+	if t.observe(gossip.KeyOf(endpoint), l, sent, now) && t.Changed != nil {
 		t.Changed(endpoint, l)
 	}
 }
 
-// hear is Said without the call of Changed; it reports whether the limit is another one now.
-func (t *Table) hear(key gossip.EndpointKey, l Limit, sent, now time.Time) bool {
+// observe does the work of Said except calling Changed, and reports whether the limit has changed.
+func (t *Table) observe(key gossip.EndpointKey, l Limit, sent, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.limits[key]
@@ -74,35 +75,35 @@
 		return false
 	}
 	changed := e == nil || e.limit != l
-	t.learn(key, l, now, now).heard = now
+	t.setLimit(key, l, now, now).lastAnswer = now
 	return changed
 }
 
-// learn notes a limit with the lock held.
-func (t *Table) learn(key gossip.EndpointKey, l Limit, asOf, now time.Time) *entry {
+// setLimit stores a limit. The caller holds t.mu.
+func (t *Table) setLimit(key gossip.EndpointKey, l Limit, asOf, now time.Time) *entry {
 	e := t.limits[key]
 	if e == nil {
-		e = &entry{passed: window.NewCounter(span, t.start)}
+		e = &entry{withheld: window.NewCounter(countingWindow, t.start)}
 		t.limits[key] = e
 	}
 	if l.Named && !e.limit.Named {
-		e.since = now
+		e.limitedSince = now
 	}
 	e.limit, e.asOf = l, asOf
 	return e
 }
 
-// sending returns the counter of what this node sends to an endpoint.
-func (t *Table) sending(key gossip.EndpointKey) *window.Counter {
+// sentCounter returns the counter of requests that this node has sent to an endpoint. The caller holds t.mu.
+func (t *Table) sentCounter(key gossip.EndpointKey) *window.Counter {
 	c := t.sent[key]
 	if c == nil {
-		c = window.NewCounter(span, t.start)
+		c = window.NewCounter(countingWindow, t.start)
 		t.sent[key] = c
 	}
 	return c
 }
 
-// Learn takes in what the other nodes tell.
+// Learn merges limits reported by other nodes.
 func (t *Table) Learn(others gossip.RateLimits, now time.Time) {
 	if len(others) == 0 {
 		return
@@ -111,62 +112,62 @@
 	defer t.mu.Unlock()
 	for key, other := range others {
 		if e := t.limits[key]; e == nil || other.AsOf.After(e.asOf) {
-			t.learn(key, Limit{PerSecond: other.PerSecond, Named: other.Named}, other.AsOf, now)
+			t.setLimit(key, Limit{PerSecond: other.PerSecond, Named: other.Named}, other.AsOf, now)
 		}
 	}
 }
 
-// Admit reports whether a request may be sent to an endpoint that was chosen for it, and counts it. It may not if the endpoint's
-// limit is used up by what all nodes have sent.
+// Admit reports whether a request may be sent to the endpoint chosen for it, and counts it. It may not be sent if the requests
+// of all nodes have used up the endpoint's limit.
 func (t *Table) Admit(endpoint string, others gossip.RateLimits, now time.Time) bool {
 	key := gossip.KeyOf(endpoint)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.limits[key]
 	if e != nil && e.limit.Named && !t.admits(e, key, others[key], now) {
-		e.passed.Add(now)
+		e.withheld.Add(now)
 		return false
 	}
-	t.sending(key).Add(now)
+	t.sentCounter(key).Add(now)
 	return true
 }
 
 func (t *Table) admits(e *entry, key gossip.EndpointKey, others gossip.RateLimit, now time.Time) bool {
-	if now.Sub(e.since) < settleFor {
+	if now.Sub(e.limitedSince) < settleDelay {
 		return false
 	}
-	return counts{t.sending(key), e.passed}.fit(e.allowed(), others, t.Draw(), now)
+	return counts{t.sentCounter(key), e.withheld}.fits(e.allowed(), others, t.Draw(), now)
 }
 
-// allowed returns how many requests the limit allows in the window that is counted. One always is: only an answer tells that the
-// limit has ended.
+// allowed returns the number of requests that the limit allows per window. It is at least one, because only an answer can show
+// that the endpoint no longer names a limit.
 func (e *entry) allowed() float64 {
-	return max(1, e.limit.PerSecond*window.Covered(span).Seconds())
+	return max(1, e.limit.PerSecond*window.Covered(countingWindow).Seconds())
 }
 
-// Report returns what the other nodes are told: limits that this node has lately heard of from the endpoints themselves, and
-// what it has sent to limited endpoints.
+// Report returns what other nodes need: limits that endpoints recently named or removed in answers to this node, and the
+// counts of requests for limited endpoints.
 func (t *Table) Report(now time.Time) gossip.RateLimits {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out gossip.RateLimits
 	for key, e := range t.limits {
-		told := gossip.RateLimit{Named: e.limit.Named, PerSecond: e.limit.PerSecond, AsOf: e.asOf}
+		report := gossip.RateLimit{Named: e.limit.Named, PerSecond: e.limit.PerSecond, AsOf: e.asOf}
 		if e.limit.Named {
-			told.Recent, told.Passed = t.sending(key).Sum(now), e.passed.Sum(now)
+			report.Recent, report.Passed = t.sentCounter(key).Sum(now), e.withheld.Sum(now)
 		}
-		if told.Recent+told.Passed == 0 && now.Sub(e.heard) > toldFor {
+		if report.Recent+report.Passed == 0 && now.Sub(e.lastAnswer) > reportPeriod {
 			continue
 		}
 		if out == nil {
 			out = make(gossip.RateLimits)
 		}
-		out[key] = told
+		out[key] = report
 	}
 	return out
 }
 
-// Limit returns the limit that an endpoint has named last.
+// Limit returns the last limit named by an endpoint, or the zero Limit if none is known.
 func (t *Table) Limit(endpoint string) Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,7 +177,7 @@
 	return Limit{}
 }
 
-// Named returns how many endpoints name a limit.
+// Named returns the number of endpoints that name a limit.
 func (t *Table) Named() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,12 +190,12 @@
 	return n
 }
 
-// Sweep forgets what has grown old.
+// Sweep removes expired limits and empty counters.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, e := range t.limits {
-		if now.Sub(e.asOf) > keptFor {
+		if now.Sub(e.asOf) > limitTTL {
 			delete(t.limits, key)
 		}
 	}
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -17,25 +17,25 @@
 
 func at(seconds float64) time.Time { return origin.Add(time.Duration(seconds * float64(time.Second))) }
 
-func TestLimitHoldsAsLongAsAnswersNameIt(t *testing.T) {
+func TestLimitAppliesWhileAnswersNameIt(t *testing.T) {
 	table := ratelimit.NewTable(origin)
-	var told []ratelimit.Limit
-	table.Changed = func(_ string, l ratelimit.Limit) { told = append(told, l) }
-	two := ratelimit.Limit{PerSecond: 2, Named: true}
+	var changes []ratelimit.Limit
+	table.Changed = func(_ string, l ratelimit.Limit) { changes = append(changes, l) }
+	twoPerSecond := ratelimit.Limit{PerSecond: 2, Named: true}
 	table.Said("a", ratelimit.Limit{}, at(0), at(0))
 	qt.Check(t, table.Named(), qt.Equals, 0)
-	table.Said("a", two, at(1), at(2))
-	table.Said("a", two, at(2), at(3))
-	qt.Check(t, table.Limit("a"), qt.Equals, two)
+	table.Said("a", twoPerSecond, at(1), at(2))
+	table.Said("a", twoPerSecond, at(2), at(3))
+	qt.Check(t, table.Limit("a"), qt.Equals, twoPerSecond)
 	table.Said("a", ratelimit.Limit{}, at(2.5), at(4))
-	qt.Check(t, table.Limit("a"), qt.Equals, two, qt.Commentf("the answer may be older than the limit"))
+	qt.Check(t, table.Limit("a"), qt.Equals, twoPerSecond, qt.Commentf("the answered request may have been sent before the limit was named"))
 	table.Said("a", ratelimit.Limit{}, at(3.5), at(5))
 	qt.Check(t, table.Limit("a"), qt.Equals, ratelimit.Limit{})
 	qt.Check(t, table.Named(), qt.Equals, 0)
-	qt.Check(t, told, qt.DeepEquals, []ratelimit.Limit{two, {}})
+	qt.Check(t, changes, qt.DeepEquals, []ratelimit.Limit{twoPerSecond, {}})
 }
 
-func TestLimitOfAnEndpointThatSaysNothingMoreIsForgotten(t *testing.T) {
+func TestLimitOfSilentEndpointExpires(t *testing.T) {
 	table := ratelimit.NewTable(origin)
 	table.Said("a", ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
 	table.Sweep(at(59))
@@ -44,22 +44,22 @@
 	qt.Check(t, table.Named(), qt.Equals, 0)
 }
 
-// fleet is nodes that send to one endpoint and hear each other late.
+// fleet is a set of nodes that send to one endpoint and receive each other's reports with a delay.
 type fleet struct {
-	tables  []*ratelimit.Table
-	late    int                   // beats
-	reports [][]gossip.RateLimits // by beat and node
+	tables     []*ratelimit.Table
+	delayBeats int                   // in heartbeats
+	reports    [][]gossip.RateLimits // by heartbeat and node
 }
 
 const (
-	beat     = 100 * time.Millisecond
-	endpoint = "e"
+	beatInterval = 100 * time.Millisecond
+	endpoint     = "e"
 )
 
-// others returns what a node has heard of the others.
+// others returns the sum of the reports that a node has received from the others.
 func (f *fleet) others(node int) gossip.RateLimits {
 	totals := gossip.NewTotals()
-	if i := len(f.reports) - 1 - f.late; i >= 0 {
+	if i := len(f.reports) - 1 - f.delayBeats; i >= 0 {
 		for other, r := range f.reports[i] {
 			if other != node {
 				totals.Add(&gossip.Status{Limits: r})
@@ -69,8 +69,8 @@
 	return totals.Limits
 }
 
-// tell lets each node say what it has and take in what it hears.
-func (f *fleet) tell(now time.Time) {
+// exchangeReports lets each node merge the reports it has received and create its next report.
+func (f *fleet) exchangeReports(now time.Time) {
 	var reports []gossip.RateLimits
 	for node, t := range f.tables {
 		t.Learn(f.others(node), now)
@@ -79,35 +79,35 @@
 	f.reports = append(f.reports, reports)
 }
 
-// Guards against an endpoint that names a rate limit getting more than that from all nodes together, however many nodes there
-// are, how late they hear each other, and where and how often requests come in.
+// Guards against all nodes together exceeding the rate limit of an endpoint, whatever the number of nodes, the delay of their
+// reports, and the distribution and rate of incoming requests.
 func TestAllNodesTogetherKeepALimit(t *testing.T) {
 	const (
-		step   = 5 * time.Millisecond
-		named  = 6 * time.Second
-		holds  = named + 3*time.Second
-		end    = 20 * time.Second
-		window = 4 * time.Second
+		step         = 5 * time.Millisecond
+		limitStart   = 6 * time.Second
+		enforcedFrom = limitStart + 3*time.Second
+		end          = 20 * time.Second
+		window       = 4 * time.Second
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		f := &fleet{late: rapid.IntRange(0, 6).Draw(t, "late")}
+		f := &fleet{delayBeats: rapid.IntRange(0, 6).Draw(t, "delay in heartbeats")}
 		for range rapid.IntRange(1, 40).Draw(t, "nodes") {
 			table := ratelimit.NewTable(origin)
 			table.Draw = random.Float64
 			f.tables = append(f.tables, table)
 		}
 		limit := ratelimit.Limit{PerSecond: rapid.Float64Range(0.3, 6).Draw(t, "limit"), Named: true}
-		pressure := rapid.Float64Range(1, 30).Draw(t, "pressure")
-		before := min(pressure, 6) // more than that in the second before the rule holds can't be undone
+		requestRate := rapid.Float64Range(1, 30).Draw(t, "request rate")
+		rateBeforeLimit := min(requestRate, 6) // bounded, as requests sent just before the limit is enforced cannot be undone
 		var sent []time.Duration
 		for now := time.Duration(0); now < end; now += step {
-			if now%beat == 0 {
-				f.tell(origin.Add(now))
+			if now%beatInterval == 0 {
+				f.exchangeReports(origin.Add(now))
 			}
-			rate := pressure
-			if now < named {
-				rate = before
+			rate := requestRate
+			if now < limitStart {
+				rate = rateBeforeLimit
 			}
 			if random.Float64() >= rate*step.Seconds() {
 				continue
@@ -117,7 +117,7 @@
 				continue
 			}
 			sent = append(sent, now)
-			if now >= named {
+			if now >= limitStart {
 				f.tables[node].Said(endpoint, limit, origin.Add(now), origin.Add(now))
 			}
 		}
@@ -127,19 +127,19 @@
 			for first > 0 && last-sent[first-1] < window {
 				first--
 			}
-			if got := i - first + 1; last > holds && got > allowed {
+			if got := i - first + 1; last > enforcedFrom && got > allowed {
 				t.Fatalf("%d requests in %s until %s, allowed %d", got, window, last, allowed)
 			}
 		}
 	})
 }
 
-func TestLimitIsUsedThoughRequestsComeInAtOneNodeOnly(t *testing.T) {
+func TestSingleNodeCanUseTheLimit(t *testing.T) {
 	f := &fleet{tables: []*ratelimit.Table{ratelimit.NewTable(origin), ratelimit.NewTable(origin), ratelimit.NewTable(origin)}}
 	f.tables[0].Said(endpoint, ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
 	sent := 0
 	for now := 0.0; now < 60; now += 0.1 {
-		f.tell(at(now))
+		f.exchangeReports(at(now))
 		if f.tables[1].Admit(endpoint, f.others(1), at(now)) {
 			sent++
 		}
@@ -148,19 +148,19 @@
 	qt.Check(t, sent <= 120, qt.IsTrue, qt.Commentf("%d of 120", sent))
 }
 
-func TestOneRequestIsAlwaysLeftToLearnThatTheLimitHasEnded(t *testing.T) {
+func TestOneRequestIsAdmittedToDetectEndOfLimit(t *testing.T) {
 	table := ratelimit.NewTable(origin)
 	table.Draw = func() float64 { return 0 }
 	table.Said(endpoint, ratelimit.Limit{Named: true}, at(0), at(0))
-	qt.Check(t, table.Admit(endpoint, nil, at(0.5)), qt.IsFalse, qt.Commentf("the others' counts have not arrived"))
+	qt.Check(t, table.Admit(endpoint, nil, at(0.5)), qt.IsFalse, qt.Commentf("counts of the other nodes may not have arrived yet"))
 	qt.Check(t, table.Admit(endpoint, nil, at(2)), qt.IsTrue)
 	qt.Check(t, table.Admit(endpoint, nil, at(3)), qt.IsFalse)
 	table.Said(endpoint, ratelimit.Limit{}, at(2), at(3))
 	qt.Check(t, table.Admit(endpoint, nil, at(3)), qt.IsTrue)
 }
 
-// Guards against beats that tell for ever of limits that have ended.
-func TestEndOfALimitIsToldForAWhileOnly(t *testing.T) {
+// Guards against heartbeats that report ended limits forever.
+func TestEndOfLimitIsReportedForBoundedTime(t *testing.T) {
 	table := ratelimit.NewTable(origin)
 	table.Said(endpoint, ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
 	table.Said(endpoint, ratelimit.Limit{}, at(1), at(2))
