--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -14,10 +14,10 @@
 
 var limits = retry.Limits{Ratio: 0.2, Slack: 90, Window: 10 * time.Second}
 
-func one() retry.Nodes { return retry.Nodes{All: 1, Busy: 1} }
+func singleNode() retry.Nodes { return retry.Nodes{All: 1, Busy: 1} }
 
-func TestSlackAllowsFirstRepeats(t *testing.T) {
-	b := retry.NewBudget(limits, one, origin)
+func TestSlackAllowsInitialRetries(t *testing.T) {
+	b := retry.NewBudget(limits, singleNode, origin)
 	qt.Check(t, b.Take(origin), qt.IsTrue)
 }
 
@@ -34,9 +34,9 @@
 	qt.Check(t, taken(9) > 0, qt.IsTrue)
 }
 
-// Callers use few nodes of a large fleet: those have half of the slack that is used, and together no more than all nodes of
-// a fleet that callers use whole.
-func TestSlackGoesToThoseThatHaveRequests(t *testing.T) {
+// Callers use few nodes of a large fleet. These nodes receive half of the usable slack, and together no more than all nodes
+// of a fleet in which callers use every node.
+func TestSlackFavoursBusyNodes(t *testing.T) {
 	spent := func(all, busy int) int {
 		n := 0
 		for i := range all {
@@ -55,17 +55,17 @@
 	qt.Check(t, spent(986, 40) <= spent(9, 9), qt.IsTrue, qt.Commentf("%d", spent(986, 40)))
 }
 
-func TestRepeatsAreForgottenAfterTheWindow(t *testing.T) {
-	b := retry.NewBudget(limits, one, origin)
-	for b.Take(origin) { //nolint:revive // spends all
+func TestRetriesExpireAfterWindow(t *testing.T) {
+	b := retry.NewBudget(limits, singleNode, origin)
+	for b.Take(origin) { //nolint:revive // uses all retries
 	}
 	qt.Check(t, b.Take(origin.Add(9*time.Second)), qt.IsFalse)
 	qt.Check(t, b.Take(origin.Add(11*time.Second)), qt.IsTrue)
 }
 
-// TestAllNodesTogetherKeepTheLimit plays nodes that start at different times and take whatever they can; in no
-// window may they pass what the limits allow all together.
-func TestAllNodesTogetherKeepTheLimit(t *testing.T) {
+// TestAllNodesTogetherStayWithinLimits simulates nodes that start at different times and use as many retries as they can. In
+// no window may they together exceed the limits.
+func TestAllNodesTogetherStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 9).Draw(t, "nodes")
 		budgets := make([]*retry.Budget, nodes)
@@ -73,7 +73,7 @@
 			start := origin.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "start")) * time.Millisecond)
 			budgets[i] = retry.NewBudget(limits, func() retry.Nodes { return retry.Nodes{All: nodes, Busy: nodes} }, start)
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		now := origin
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
@@ -82,9 +82,9 @@
 				b.Request(now)
 				requests = append(requests, now)
 			}
-			for range rapid.IntRange(0, 30).Draw(t, "repeats") {
+			for range rapid.IntRange(0, 30).Draw(t, "retries") {
 				if b.Take(now) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 			}
 			inWindow := func(list []time.Time, span time.Duration) int {
@@ -97,8 +97,8 @@
 				return n
 			}
 			allowed := limits.Ratio*float64(inWindow(requests, limits.Window)) + limits.Slack
-			if got := inWindow(repeats, limits.Window); float64(got) > allowed {
-				t.Fatalf("%d repeats in a window, allowed %.1f", got, allowed)
+			if got := inWindow(retries, limits.Window); float64(got) > allowed {
+				t.Fatalf("%d retries in a window, allowed %.1f", got, allowed)
 			}
 		}
 	})
