--- /dev/null
+++ b/internal/quarantine/hold_syncer.go
@@ -0,0 +1,182 @@
+package quarantine
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"moorrun.dev/moorrun/internal/clock"
+	"moorrun.dev/moorrun/internal/infra"
+	"moorrun.dev/moorrun/internal/keys"
+	"moorrun.dev/moorrun/internal/loop"
+)
+
+// syncInterval is how often the leader checks whether the stored list must be written. If all nodes are killed at once, they
+// lose at most the holds of the last interval.
+const syncInterval = 500 * time.Millisecond
+
+const (
+	// isolationDelay is how long a node must have heard no other before it relies on the store. Starting nodes hear each
+	// other sooner.
+	isolationDelay = 1500 * time.Millisecond
+	// isolatedSyncInterval is how often an isolated node reads the stored list: other nodes may hold requests back that it
+	// has not learned of, and write them within syncInterval. A network partition of five seconds costs a node four calls.
+	isolatedSyncInterval = time.Second
+)
+
+// Keeper maintains the list of held requests in the platform's object store, where it survives the loss of all nodes. The
+// leader writes the list when it has changed. Each process reads it once at startup, and a leader again at the beginning of
+// each epoch. Otherwise nodes exchange holds in their heartbeats, whether or not the store is available. A node that hears no
+// other node reads and writes the list as a leader does.
+type Keeper struct {
+	Table   *Table
+	Objects infra.ObjectStore
+	// Recent lists the objects with a prefix at a lower cost than ObjectStore; the result may be some seconds old.
+	Recent func(ctx context.Context, prefix string) (infra.Listing, error)
+	// Leads returns the epoch in which this node is the leader, or zero if it is not the leader.
+	Leads func(now time.Time) int64
+	// Alone reports whether this node hears no other node.
+	Alone  func(now time.Time) bool
+	Logger log.Logger
+	// FirstStart means that the fleet starts for the first time, so that there is no list to restore.
+	FirstStart bool
+
+	restored         bool
+	isolatedSince    time.Time // zero if this node leads or hears another node
+	lastIsolatedSync time.Time // when an isolated node last read the list
+	loadedEpoch      int64     // epoch for which the list was read
+	version          int64     // version of the stored object; zero if there is none
+	written          map[Fingerprint]writtenHold
+}
+
+// writtenHold is the state of one held request in the store.
+type writtenHold struct {
+	endingCount int
+	until       time.Time
+}
+
+// Run maintains the stored list until ctx is done.
+func (k *Keeper) Run(ctx context.Context) error {
+	k.restored = k.FirstStart
+	loop.Every(ctx, syncInterval, func(now time.Time) {
+		if !k.restored {
+			k.restored = k.restore(ctx)
+		}
+		if epoch := k.Leads(now); epoch > 0 {
+			k.syncList(ctx, epoch)
+		}
+		if k.isIsolated(now) && now.Sub(k.lastIsolatedSync) >= isolatedSyncInterval {
+			k.lastIsolatedSync = now
+			k.syncList(ctx, 0)
+		}
+	})
+	return nil
+}
+
+// isIsolated reports whether this node does not lead and has heard no other node for isolationDelay.
+func (k *Keeper) isIsolated(now time.Time) bool {
+	if k.Leads(now) > 0 || !k.Alone(now) {
+		k.isolatedSince = time.Time{}
+		return false
+	}
+	if k.isolatedSince.IsZero() {
+		k.isolatedSince = now
+	}
+	return now.Sub(k.isolatedSince) >= isolationDelay
+}
+
+// restore merges the list left from before a restart, if any, and reports whether the store answered.
+func (k *Keeper) restore(ctx context.Context) bool {
+	l, err := k.Recent(ctx, keys.Quarantine)
+	if err != nil {
+		return false
+	}
+	for _, o := range l.Objects {
+		if o.Key == keys.Held {
+			k.mergeObject(o)
+		}
+	}
+	return true
+}
+
+// mergeObject merges a stored list into the table.
+func (k *Keeper) mergeObject(o infra.Object) {
+	records, err := ParseStoredList(o.Value, clock.Now())
+	if err != nil {
+		_ = level.Error(k.Logger).Log("msg", "stored list of held requests is unreadable and will be replaced", "key", o.Key, "err", err)
+		return
+	}
+	k.Table.Merge(records, Source{}, clock.Now())
+}
+
+// syncList reads the list at the beginning of an epoch, or every time if epoch is zero, and writes it if it has changed.
+func (k *Keeper) syncList(ctx context.Context, epoch int64) {
+	if (epoch == 0 || k.loadedEpoch != epoch) && !k.load(ctx) {
+		return
+	}
+	k.loadedEpoch = epoch
+	now := clock.Now()
+	holds := k.Table.Holds(now)
+	if !k.differsFromStore(holds, now) {
+		return
+	}
+	outcome, version, err := k.Objects.Put(ctx, keys.Held, NewStoredList(holds, now), k.version)
+	if outcome != infra.Applied {
+		k.loadedEpoch = 0 // read again: another leader may have written the list, or the reply was lost
+		_ = level.Warn(k.Logger).Log("msg", "writing the list of held requests failed", "key", keys.Held, "err", err)
+		return
+	}
+	k.version = version
+	k.written = make(map[Fingerprint]writtenHold, len(holds))
+	for _, r := range holds {
+		k.written[r.Fingerprint] = writtenHold{len(r.Endings), now.Add(r.Hold)}
+	}
+}
+
+// load reads the list and reports whether the store answered.
+func (k *Keeper) load(ctx context.Context) bool {
+	o, err := k.Objects.Get(ctx, keys.Held)
+	k.written = nil
+	switch {
+	case errors.Is(err, infra.ErrNotFound):
+		k.version = 0
+	case err != nil:
+		return false
+	default:
+		k.version = o.Version
+		k.mergeObject(o)
+		k.written = holdsIn(o)
+	}
+	return true
+}
+
+// holdsIn returns the holds in a stored list.
+func holdsIn(o infra.Object) map[Fingerprint]writtenHold {
+	records, err := ParseStoredList(o.Value, clock.Now())
+	if err != nil {
+		return nil // mergeObject has logged the error
+	}
+	now := clock.Now()
+	out := make(map[Fingerprint]writtenHold, len(records))
+	for _, r := range records {
+		out[r.Fingerprint] = writtenHold{len(r.Endings), now.Add(r.Hold)}
+	}
+	return out
+}
+
+// differsFromStore reports whether the holds differ from those in the stored list by more than holdTolerance.
+func (k *Keeper) differsFromStore(holds []Record, now time.Time) bool {
+	removed := maps.Clone(k.written)
+	for _, r := range holds {
+		w, known := k.written[r.Fingerprint]
+		if !known || w.endingCount != len(r.Endings) || now.Add(r.Hold).Sub(w.until) > holdTolerance {
+			return true
+		}
+		delete(removed, r.Fingerprint)
+	}
+	return len(removed) > 0
+}
--- /dev/null
+++ b/internal/quarantine/hold_syncer_test.go
@@ -0,0 +1,169 @@
+package quarantine_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/go-kit/log"
+
+	"moorrun.dev/moorrun/internal/infra"
+	"moorrun.dev/moorrun/internal/keys"
+	"moorrun.dev/moorrun/internal/quarantine"
+)
+
+// store is an object store that holds one object and counts calls.
+type store struct {
+	infra.ObjectStore // methods that are not overridden panic
+
+	mu          sync.Mutex
+	object      infra.Object
+	isolated    bool // the node under test hears no other node
+	unavailable bool
+	loseReply   bool // the next write is applied, but its reply is lost
+	reads       int
+	writes      int
+}
+
+var errUnavailable = errors.New("store unavailable")
+
+func (s *store) Get(context.Context, string) (infra.Object, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reads++
+	switch {
+	case s.unavailable:
+		return infra.Object{}, errUnavailable
+	case s.object.Version == 0:
+		return infra.Object{}, infra.ErrNotFound
+	}
+	return s.object, nil
+}
+
+func (s *store) listRecent(context.Context, string) (infra.Listing, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reads++
+	if s.unavailable {
+		return infra.Listing{}, errUnavailable
+	}
+	if s.object.Version == 0 {
+		return infra.Listing{}, nil
+	}
+	return infra.Listing{Objects: []infra.Object{s.object}}, nil
+}
+
+func (s *store) Put(_ context.Context, key string, value any, ifVersion int64) (infra.Outcome, int64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.writes++
+	if s.unavailable {
+		return infra.Unknown, 0, errUnavailable
+	}
+	if ifVersion != s.object.Version {
+		return infra.NotApplied, 0, nil
+	}
+	content, err := json.Marshal(value)
+	if err != nil {
+		return infra.NotApplied, 0, err
+	}
+	s.object = infra.Object{Key: key, Version: s.object.Version + 1, Value: content}
+	if s.loseReply {
+		s.loseReply = false
+		return infra.Unknown, 0, errUnavailable
+	}
+	return infra.Applied, s.object.Version, nil
+}
+
+// runKeeper runs a Keeper while it calls the functions in during, and for d after that. The Keeper leads in the given epoch,
+// or not at all if it is zero.
+func (s *store) runKeeper(table *quarantine.Table, epoch int64, d time.Duration, during ...func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	k := &quarantine.Keeper{
+		Table: table, Objects: s, Recent: s.listRecent, Leads: func(time.Time) int64 { return epoch }, Alone: func(time.Time) bool { return s.isolated }, Logger: log.NewNopLogger(),
+	}
+	go func() { _ = k.Run(ctx) }()
+	for _, do := range during {
+		do()
+	}
+	time.Sleep(d)
+	cancel()
+	synctest.Wait()
+}
+
+func TestHeldRequestsSurviveLossOfAllNodes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := &store{}
+		table := quarantine.NewTable()
+		s.runKeeper(table, 1, 2*time.Second, func() { recordEndings(table, 1, 3, poison) })
+		qt.Check(t, s.writes, qt.Equals, 1)
+		restarted := quarantine.NewTable()
+		s.runKeeper(restarted, 0, time.Second)
+		qt.Check(t, isHeld(restarted, poison), qt.IsTrue)
+		qt.Check(t, s.writes, qt.Equals, 1, qt.Commentf("a node that does not lead writes nothing"))
+	})
+}
+
+func TestNothingIsWrittenWhileNothingIsHeld(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := &store{}
+		table := quarantine.NewTable()
+		s.runKeeper(table, 1, time.Minute, func() { recordEndings(table, 1, 2, poison) })
+		qt.Check(t, s.writes, qt.Equals, 0)
+		qt.Check(t, s.reads, qt.Equals, 2, qt.Commentf("once at startup, and once for the epoch"))
+	})
+}
+
+func TestStoredListSurvivesStoreFailureAndLeaderChange(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := &store{unavailable: true}
+		first := quarantine.NewTable()
+		s.runKeeper(first, 1, 5*time.Second, func() {
+			recordEndings(first, 1, 3, poison)
+			time.Sleep(3 * time.Second)
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.unavailable, s.loseReply = false, true
+		})
+		qt.Check(t, s.object.Version, qt.Equals, int64(1), qt.Commentf("a write whose reply was lost is detected by reading"))
+		second := quarantine.NewTable()
+		s.runKeeper(second, 2, 2*time.Second, func() { recordEndings(second, 5, 7, other) })
+		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
+		qt.Assert(t, err, qt.IsNil)
+		qt.Check(t, records, qt.HasLen, 2, qt.Commentf("a new leader keeps the holds written by an earlier one"))
+	})
+}
+
+func TestExpiredHoldsAreRemovedAndUnreadableListIsReplaced(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := &store{object: infra.Object{Key: keys.Held, Version: 4, Value: []byte(`{"requests":"none"}`)}}
+		table := quarantine.NewTable()
+		s.runKeeper(table, 1, 2*time.Minute, func() { recordEndings(table, 1, 3, poison) })
+		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
+		qt.Assert(t, err, qt.IsNil)
+		qt.Check(t, records, qt.HasLen, 0)
+		qt.Check(t, s.writes, qt.Equals, 2)
+	})
+}
+
+// A node that is partitioned from all other nodes still reaches endpoints and may be sent the held request.
+func TestIsolatedNodeSyncsWithStore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := &store{}
+		others, isolated := quarantine.NewTable(), quarantine.NewTable()
+		s.runKeeper(others, 1, time.Second, func() { recordEndings(others, 1, 3, poison) })
+		s.isolated = true
+		s.runKeeper(isolated, 0, 5*time.Second, func() { recordEndings(isolated, 5, 7, other) })
+		qt.Check(t, isHeld(isolated, poison), qt.IsTrue)
+		qt.Check(t, s.reads < 10, qt.IsTrue, qt.Commentf("%d reads", s.reads))
+		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
+		qt.Assert(t, err, qt.IsNil)
+		qt.Check(t, records, qt.HasLen, 2, qt.Commentf("holds of the isolated node are written for the others"))
+	})
+}
--- /dev/null
+++ b/internal/quarantine/investigator.go
@@ -0,0 +1,218 @@
+package quarantine
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"moorrun.dev/moorrun/internal/clock"
+	"moorrun.dev/moorrun/internal/endpoint"
+)
+
+const (
+	// probeTimeout bounds one probe of an endpoint. Endpoints in the same region answer within a few milliseconds.
+	probeTimeout = 400 * time.Millisecond
+	// maxNeighbourProbes is the maximum number of endpoints in the same fabric domain that are probed after an ending. One
+	// that answers shows that the domain is up; usually the first one does.
+	maxNeighbourProbes = 3
+	// abandonedTTL is how long after a caller abandons a request an ending still counts against that request. An endpoint
+	// ends when it begins to run the request, which may first wait for its place in a batch.
+	abandonedTTL = 2 * time.Second
+	// maxAbandonedPerEndpoint is the maximum number of abandoned requests kept for each endpoint.
+	maxAbandonedPerEndpoint = 64
+	// maxLoggedFingerprints is the maximum number of fingerprints in one log line.
+	maxLoggedFingerprints = 20
+)
+
+// Inquiry determines why connections to endpoints broke. An ending counts against the requests that the endpoint was running
+// only if there is no other known cause: the endpoint was not draining, and its fabric domain is up. An endpoint that does
+// not answer at all is not assumed to have ended.
+type Inquiry struct {
+	Table     *Table
+	Directory *endpoint.Directory
+	// Ask probes whether an endpoint is alive.
+	Ask func(ctx context.Context, e *endpoint.Endpoint) Finding
+	// Noted is called after an ending has been recorded. held reports whether a request is newly held back because of it, in
+	// which case the other nodes must be told at once. Noted must not block.
+	Noted  func(held bool)
+	Logger log.Logger
+
+	mu             sync.Mutex
+	investigations map[uint32]*investigation     // by lifeHash of the endpoint
+	abandoned      map[string][]abandonedRequest // by endpoint id
+}
+
+// abandonedRequest is a request that was abandoned before its endpoint answered.
+type abandonedRequest struct {
+	fingerprint Fingerprint
+	at          time.Time
+}
+
+// Failed reports that the connection to an endpoint broke while the endpoint had the request. resent means that the request
+// was sent to this endpoint after another endpoint had failed it.
+func (q *Inquiry) Failed(e *endpoint.Endpoint, f Fingerprint, resent bool) {
+	now := clock.Now()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	o := q.investigations[lifeHash(e)]
+	switch {
+	case o == nil || !o.fresh(now):
+		q.investigate(e).add(f, resent)
+	case o.cause == "":
+		o.add(f, resent)
+	case o.cause == endedAlone:
+		late := &investigation{}
+		late.add(f, resent)
+		q.recordEnding(e, late, o.start, now)
+	}
+}
+
+// Left reports that the request was abandoned while the endpoint had it.
+func (q *Inquiry) Left(e *endpoint.Endpoint, f Fingerprint) {
+	now := clock.Now()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.abandoned == nil {
+		q.abandoned = make(map[string][]abandonedRequest)
+	}
+	list := q.recentlyAbandoned(e.ID, now)
+	if len(list) >= maxAbandonedPerEndpoint {
+		list = list[1:]
+	}
+	q.abandoned[e.ID] = append(list, abandonedRequest{f, now})
+}
+
+// Refused reports that the endpoint refused a connection. It starts an investigation only if the endpoint had abandoned
+// requests; the connections of all other requests break, which Failed reports.
+func (q *Inquiry) Refused(e *endpoint.Endpoint) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.recentlyAbandoned(e.ID, clock.Now())) > 0 && q.investigations[lifeHash(e)] == nil {
+		q.investigate(e)
+	}
+}
+
+// Sweep removes abandoned requests and investigations that have expired.
+func (q *Inquiry) Sweep(now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for id := range q.abandoned {
+		if len(q.recentlyAbandoned(id, now)) == 0 {
+			delete(q.abandoned, id)
+		}
+	}
+	for life, o := range q.investigations {
+		if !o.fresh(now) {
+			delete(q.investigations, life)
+		}
+	}
+}
+
+// recentlyAbandoned returns the requests abandoned at an endpoint within abandonedTTL. The caller holds q.mu.
+func (q *Inquiry) recentlyAbandoned(id string, now time.Time) []abandonedRequest {
+	return slices.DeleteFunc(slices.Clone(q.abandoned[id]), func(l abandonedRequest) bool { return now.Sub(l.at) > abandonedTTL })
+}
+
+// investigate starts an investigation of an endpoint. The caller holds q.mu.
+func (q *Inquiry) investigate(e *endpoint.Endpoint) *investigation {
+	if q.investigations == nil {
+		q.investigations = make(map[uint32]*investigation)
+	}
+	o := &investigation{}
+	q.investigations[lifeHash(e)] = o
+	go q.conclude(e, clock.Now())
+	return o
+}
+
+// recordEnding records the ending against the requests and reports whether any of them is newly held back.
+func (q *Inquiry) recordEnding(e *endpoint.Endpoint, o *investigation, noticed, now time.Time) bool {
+	ending := EndingOf(e, noticed)
+	held := q.Table.Ended(ending, o.requests, now)
+	return q.Table.Ended(ending.asSeparateIncident(), o.resent, now) || held
+}
+
+// conclude determines the cause and, if the endpoint ended for no other known reason, records the ending against its
+// requests. noticed is when the first connection failed.
+func (q *Inquiry) conclude(e *endpoint.Endpoint, noticed time.Time) {
+	cause := q.findCause(e)
+	now := clock.Now()
+	q.mu.Lock()
+	o := q.investigations[lifeHash(e)]
+	affected := &investigation{requests: o.requests, resent: o.resent}
+	*o = investigation{cause: cause, start: noticed}
+	if cause == noEndFound {
+		delete(q.investigations, lifeHash(e)) // the endpoint may still end at any time
+		q.mu.Unlock()
+		return
+	}
+	for _, l := range q.recentlyAbandoned(e.ID, now) {
+		affected.add(l.fingerprint, false)
+	}
+	q.mu.Unlock()
+	q.logCause(e, cause, slices.Concat(affected.requests, affected.resent))
+	if cause == endedAlone {
+		q.Noted(q.recordEnding(e, affected, noticed, now))
+	}
+}
+
+// logCause logs the cause of an endpoint's ending.
+func (q *Inquiry) logCause(e *endpoint.Endpoint, cause endCause, requests []Fingerprint) {
+	_ = level.Info(q.Logger).Log("msg", "endpoint ended", "endpoint", e.ID, "domain", e.Domain, "finding", string(cause),
+		"requests", len(requests), "fingerprints", requests[:min(len(requests), maxLoggedFingerprints)])
+}
+
+// findCause probes the endpoint and a sample of its neighbours.
+func (q *Inquiry) findCause(e *endpoint.Endpoint) endCause {
+	if q.probe(e) != Ended {
+		return noEndFound
+	}
+	snapshot := q.Directory.Read()
+	if listed := snapshot.Endpoints[e.ID]; listed == nil || listed.Draining {
+		return endedWhileDraining
+	}
+	neighbours := q.sampleNeighbours(snapshot, e)
+	if len(neighbours) > 0 && !slices.ContainsFunc(neighbours, func(n *endpoint.Endpoint) bool { return q.probe(n) == Alive }) {
+		return endedWithDomain
+	}
+	return endedAlone
+}
+
+func (q *Inquiry) probe(e *endpoint.Endpoint) Finding {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	return q.Ask(ctx, e)
+}
+
+// sampleNeighbours returns random endpoints of e's fabric domain or, if e is in none, of its data centre. Endpoints that this
+// node is investigating or has found to have ended come last, because they tell nothing new about the domain.
+func (q *Inquiry) sampleNeighbours(s *endpoint.Snapshot, e *endpoint.Endpoint) []*endpoint.Endpoint {
+	var out, ended []*endpoint.Endpoint
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, other := range s.Endpoints {
+		sharesDomain := other.Domain == e.Domain
+		if e.Domain == "" {
+			sharesDomain = other.Zone == e.Zone
+		}
+		switch {
+		case !sharesDomain || other.ID == e.ID || other.Draining:
+		case q.investigations[lifeHash(other)] != nil:
+			ended = append(ended, other)
+		default:
+			out = append(out, other)
+		}
+	}
+	shuffle(out)
+	shuffle(ended)
+	out = append(out, ended...)
+	return out[:min(len(out), maxNeighbourProbes)]
+}
+
+func shuffle(list []*endpoint.Endpoint) {
+	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+}
