--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -53,13 +53,13 @@
 	}
 	f.ran++
 	if head.Status >= serverError {
-		place.Failed(false, now)
+		place.RecordFailure(false, now)
 		if ctx.Err() == nil && f.mayResend(verdict.Ran) {
 			f.log("resend", false, "endpoint", place.Endpoint.ID, "status", head.Status)
 			return true
 		}
 	} else {
-		place.First(now.Sub(sent), now)
+		place.RecordFirstEvent(now.Sub(sent), now)
 		f.cleared(now)
 	}
 	err = f.exchange.Whole(reply, body)
@@ -98,13 +98,13 @@
 		return
 	}
 	now := clock.Now()
-	place.SaidLimit(head.Limit, sent, now)
+	place.RecordLimit(head.Limit, sent, now)
 	if head.Leaving {
-		place.SaidLeaving(now)
+		place.RecordLeaving(now)
 	}
 	if head.RetryAfter > 0 {
 		f.gateway.meters.pauses.Inc(1)
-		place.AskedToPause(head.RetryAfter, now)
+		place.RecordPause(head.RetryAfter, now)
 	}
 }
 
@@ -115,7 +115,7 @@
 	now := clock.Now()
 	v := verdict.Of(err)
 	f.suspect(ctx, place, err)
-	place.Failed(v == verdict.NotRun, now)
+	place.RecordFailure(v == verdict.NotRun, now)
 	f.log("failed", false, "endpoint", place.Endpoint.ID, "verdict", v.String(), "fingerprint", f.fingerprint, "err", err)
 	if errors.Is(err, errHedged) {
 		f.ran++
@@ -139,7 +139,7 @@
 	if head.RetryAfter > 0 {
 		pairs = append(pairs, "retry_after_ms", head.RetryAfter.Milliseconds())
 	} else {
-		place.Refused(clock.Now())
+		place.RecordRefusal(clock.Now())
 	}
 	f.log("failed", false, pairs...)
 }
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -57,7 +57,7 @@
 		pairs = append(pairs, "limit", limit.PerSecond)
 	}
 	now := clock.Now()
-	if left := place.PauseLeft(now); left > 0 {
+	if left := place.RemainingPause(now); left > 0 {
 		f.gateway.meters.sendsPaused.Inc(1)
 		pairs = append(pairs, "pause_left_ms", left.Milliseconds())
 	}
@@ -108,7 +108,7 @@
 func (f *flight) pick(ctx context.Context) (*picker.Place, error) {
 	w := &picker.Want{
 		Service: f.service.Name, ColdFor: f.service.ColdFor, ColdPerSecond: f.service.ColdPerSecond, Workspace: f.workspace.Name, Priority: f.priority(), Exclude: f.failed,
-		Patience: time.Duration(patiencePart * float64(f.route.Objective)),
+		MaxWait: time.Duration(patiencePart * float64(f.route.Objective)),
 	}
 	if e := f.service.Engine; e != nil {
 		model, ok := e.Model(f.request.Model)
@@ -120,7 +120,7 @@
 		w.Engine = engine.Model{Figures: e.Figures, Pace: model.Pace}
 	}
 	if f.begun {
-		w.Patience = f.route.GapObjective / 2
+		w.MaxWait = f.route.GapObjective / 2
 	}
 	began := clock.Now()
 	place, err := f.gateway.Picker.Acquire(ctx, w)
@@ -162,7 +162,7 @@
 		f.gateway.meters.held.Inc(1)
 		f.refuse(Refusal{Reason: NotRun, Detail: err.Error(), RetryAfter: held.left})
 	case errors.As(err, &paused):
-		f.refuse(Refusal{Reason: NotRun, Detail: err.Error(), RetryAfter: spread(paused.Left)})
+		f.refuse(Refusal{Reason: NotRun, Detail: err.Error(), RetryAfter: spread(paused.Remaining)})
 	default:
 		after := f.gateway.shortages.refused(f.service.Name+"/"+f.request.Model, clock.Now())
 		f.refuse(Refusal{Reason: NotRun, Detail: err.Error(), RetryAfter: after})
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -69,7 +69,7 @@
 
 // plainAnswer passes on a failure of the endpoint, unless a stream has begun or the request may go elsewhere.
 func (f *flight) plainAnswer(ctx context.Context, place *picker.Place, reply Reply, head Head) bool {
-	place.Failed(false, clock.Now())
+	place.RecordFailure(false, clock.Now())
 	f.ran++
 	if head.Status >= serverError && ctx.Err() == nil && f.mayResend(verdict.Ran) {
 		f.log("resend", false, "endpoint", place.Endpoint.ID, "status", head.Status)
@@ -110,12 +110,12 @@
 		f.ran++
 		return true
 	case v == verdict.NotRun:
-		place.Failed(true, clock.Now())
+		place.RecordFailure(true, clock.Now())
 		return f.notRun(ctx, place)
 	}
 	f.ran++
 	if ctx.Err() == nil {
-		place.Failed(false, clock.Now())
+		place.RecordFailure(false, clock.Now())
 		if f.mayResend(v) {
 			return true
 		}
@@ -151,7 +151,7 @@
 
 // until returns when to look again if nothing has come.
 func (s *streaming) until() time.Time {
-	doubt, until := s.place.Patience(s.last, s.begun)
+	doubt, until := s.place.StallDeadlines(s.last, s.begun)
 	now := clock.Now()
 	switch {
 	case now.Before(doubt):
@@ -171,11 +171,11 @@
 	if err := ctx.Err(); err != nil || !now.Before(s.flight.deadline) {
 		return verdict.New(verdict.MayHaveRun, context.DeadlineExceeded)
 	}
-	doubt, until := s.place.Patience(s.last, s.begun)
+	doubt, until := s.place.StallDeadlines(s.last, s.begun)
 	if now.Before(doubt) {
 		return nil // another stream of the group has gone on
 	}
-	s.place.StoodStill(now)
+	s.place.RecordStall(now)
 	if now.Before(until) && !s.place.Lost(now) {
 		return nil
 	}
@@ -218,9 +218,9 @@
 
 func (s *streaming) note(now time.Time) {
 	if s.begun {
-		s.place.Progress(now.Sub(s.last), now)
+		s.place.RecordEvent(now.Sub(s.last), now)
 	} else {
-		s.place.First(now.Sub(s.sent), now)
+		s.place.RecordFirstEvent(now.Sub(s.sent), now)
 	}
 	if s.flight.delivery.first.IsZero() {
 		s.flight.gateway.meters.first.Record(now.Sub(s.flight.request.Received))
--- a/internal/picker/candidate.go
+++ b/internal/picker/candidate.go
@@ -9,99 +9,99 @@
 )
 
 const (
-	// slowFrom is how many times the usual pause between events makes a replica group slow.
-	slowFrom = 1.8
-	// slowCost is what being a time slower than usual costs, in requests.
-	slowCost = 8.0
-	// jitter spreads requests over equals.
+	// slowGapFactor is the multiple of the median gap between events beyond which a replica group counts as slow.
+	slowGapFactor = 1.8
+	// slowGroupCost is added to a slow group's cost for each multiple of the median gap that it is above the median, in requests.
+	slowGroupCost = 8.0
+	// jitter is the largest random cost, in requests. It spreads requests over candidates of equal cost.
 	jitter = 0.5
 )
 
-// How much a group is to be avoided: one with a member that is about to leave, more one that refuses requests, and most one that
-// stands still.
+// Levels of avoidance, in rising order: a group with a draining member, one that refuses requests, and one that has stalled.
 const (
-	avoidLeaving = iota + 1
+	avoidDraining = iota + 1
 	avoidRefusing
-	avoidSilent
+	avoidStalled
 )
 
 // candidate is an endpoint that could take a request.
 type candidate struct {
-	endpoint *endpoint.Endpoint
-	group    string
-	load     int // requests of all nodes
-	cost     float64
-	limit    int           // requests beyond which it gets no more; 0: none
-	avoid    int           // 0, or more the less it is to be chosen as long as there are others
-	pause    time.Duration // that is left of what it has asked for
+	endpoint       *endpoint.Endpoint
+	group          string
+	load           int // running requests from all nodes
+	cost           float64
+	limit          int           // most concurrent requests; 0 if unlimited
+	avoidance      int           // level of avoidance; 0 for none. Candidates above the lowest level present are not chosen
+	remainingPause time.Duration // remaining part of the pause that the endpoint asked for
 
-	coldPerSecond float64 // requests it bears in a second; 0 if it is not cold
+	coldPerSecond float64 // requests per second that the endpoint can take while cold; 0 if it is not cold
 }
 
-// full reports whether the candidate gets no more requests; with queue set, those that wait in its own queue count as well.
-func (c *candidate) full(w *Want, queue bool) bool {
+// full reports whether the candidate takes no more requests. With useQueue set, a replica group that is not cold still takes up to
+// maxGroupQueue requests beyond its limit into its own queue.
+func (c *candidate) full(w *Want, useQueue bool) bool {
 	switch {
-	case c.pause > 0:
+	case c.remainingPause > 0:
 		return true
 	case c.limit == 0:
 		return false
-	case queue && c.limit == w.Slots:
-		return c.load >= c.limit+overflow
+	case useQueue && c.limit == w.Slots:
+		return c.load >= c.limit+maxGroupQueue
 	default:
 		return c.load >= c.limit
 	}
 }
 
-// candidates returns everything that may take the request, with its cost.
+// candidates returns the endpoints that may take the request, with their costs.
 func (p *Picker) candidates(w *Want, others *gossip.Totals, now time.Time) []candidate {
 	snapshot := p.options.Directory.Read()
 	if w.Model == "" {
-		return p.alone(w, snapshot, others, now)
+		return p.standaloneCandidates(w, snapshot, others, now)
 	}
-	return p.groups(w, snapshot, others, now)
+	return p.groupCandidates(w, snapshot, others, now)
 }
 
-func (p *Picker) groups(w *Want, snapshot *endpoint.Snapshot, others *gossip.Totals, now time.Time) []candidate {
+func (p *Picker) groupCandidates(w *Want, snapshot *endpoint.Snapshot, others *gossip.Totals, now time.Time) []candidate {
 	retiring := p.options.Retiring(now)
 	var out []candidate
-	usual := p.usualGap(w, snapshot)
+	median := p.medianGap(w, snapshot)
 	for _, g := range snapshot.Groups {
 		if g.Service != w.Service || g.Model != w.Model || w.excludes(g.Name) || retiring[g.Name] || !p.usable(snapshot, g, w.Size) || snapshot.Evacuated[g.Head.Zone] {
 			continue
 		}
 		h := p.health[g.Name]
-		c := candidate{endpoint: g.Head, group: g.Name, load: totalLoad(h, others, g.Head.ID), limit: w.Slots, pause: p.pauses.left(g.Head.ID, now)}
+		c := candidate{endpoint: g.Head, group: g.Name, load: totalLoad(h, others, g.Head.ID), limit: w.Slots, remainingPause: p.pauses.remaining(g.Head.ID, now)}
 		if w.ColdPerSecond > 0 && snapshot.Cold(g.Head, w.ColdFor, now) {
 			c.limit, c.coldPerSecond = min(c.limit, w.coldLimit()), w.ColdPerSecond
 		}
-		c.cost = float64(c.load) + p.draw()*jitter
+		c.cost = float64(c.load) + p.randomFloat()*jitter
 		switch {
-		case doubted(g.Name, h, others, now) || h != nil && h.suspected(now):
-			c.avoid = avoidSilent
+		case suspectedByOthers(g.Name, h, others, now) || h != nil && h.suspected(now):
+			c.avoidance = avoidStalled
 		case h != nil && h.refusing(now):
-			c.avoid = avoidRefusing
+			c.avoidance = avoidRefusing
 		case g.Draining():
-			c.avoid = avoidLeaving
+			c.avoidance = avoidDraining
 		}
-		if h != nil && usual > 0 && float64(h.gap) > slowFrom*float64(usual) {
-			c.cost += slowCost * (float64(h.gap)/float64(usual) - 1)
+		if h != nil && median > 0 && float64(h.meanGap) > slowGapFactor*float64(median) {
+			c.cost += slowGroupCost * (float64(h.meanGap)/float64(median) - 1)
 		}
 		out = append(out, c)
 	}
-	way := p.wayCost(w, others, len(out), now)
+	penalty := p.remoteCost(w, others, len(out), now)
 	for i := range out {
-		if p.elsewhere(out[i].endpoint) {
-			out[i].cost += way
+		if p.isRemote(out[i].endpoint) {
+			out[i].cost += penalty
 		}
 	}
 	return out
 }
 
-// elsewhere reports whether the endpoint is in another data centre.
-func (p *Picker) elsewhere(e *endpoint.Endpoint) bool { return e.Zone != p.options.Zone }
+// isRemote reports whether the endpoint is in another data centre.
+func (p *Picker) isRemote(e *endpoint.Endpoint) bool { return e.Zone != p.options.Zone }
 
-// usable reports whether the head takes requests and every member has been ready at one time in this group. Where members are
-// not listed the leader's word counts for that: no group is opened otherwise.
+// usable reports whether the head takes requests and all members of the group have been ready at the same time. Where the
+// directory lists only heads, an open group is enough: the leader opens a group only once all its members are ready.
 func (p *Picker) usable(s *endpoint.Snapshot, g *endpoint.Group, size int) bool {
 	if g.Head == nil || g.Head.Draining || g.Head.Membership.State != endpoint.Open {
 		return false
@@ -110,17 +110,18 @@
 		return true
 	}
 	if g.Ready(size) {
-		p.complete[g.Name] = true
+		p.wasComplete[g.Name] = true
 	}
-	return p.complete[g.Name]
+	return p.wasComplete[g.Name]
 }
 
-// usualGap is the middle of the model's mean pauses between events, as seen by this node.
-func (p *Picker) usualGap(w *Want, snapshot *endpoint.Snapshot) time.Duration {
+// medianGap returns the median, over the model's groups, of the mean gap between events as measured by this node; zero if none
+// has been measured.
+func (p *Picker) medianGap(w *Want, snapshot *endpoint.Snapshot) time.Duration {
 	var gaps []time.Duration
 	for _, g := range snapshot.Groups {
-		if h := p.health[g.Name]; g.Model == w.Model && h != nil && h.gap > 0 {
-			gaps = append(gaps, h.gap)
+		if h := p.health[g.Name]; g.Model == w.Model && h != nil && h.meanGap > 0 {
+			gaps = append(gaps, h.meanGap)
 		}
 	}
 	if len(gaps) == 0 {
@@ -130,19 +131,20 @@
 	return gaps[len(gaps)/2]
 }
 
-// draw returns a number from 0 to 1 by a step of a small linear generator; it only breaks ties.
-func (p *Picker) draw() float64 {
-	p.random = p.random*6364136223846793005 + 1442695040888963407
-	return float64(p.random>>40) / (1 << 24)
+// randomFloat returns a pseudo-random number in [0, 1) from a linear congruential generator. It breaks ties and draws samples.
+func (p *Picker) randomFloat() float64 {
+	p.randomState = p.randomState*6364136223846793005 + 1442695040888963407
+	return float64(p.randomState>>40) / (1 << 24)
 }
 
-// doubted reports whether another node has lately seen the group stand still, and this one no sign of life since.
-func doubted(group string, h *health, others *gossip.Totals, now time.Time) bool {
-	if h != nil && now.Sub(h.progress) < trustOwn {
+// suspectedByOthers reports whether another node has recently reported the group as stalled and this node has had no event from
+// it within trustOwnProgressFor.
+func suspectedByOthers(group string, h *health, others *gossip.Totals, now time.Time) bool {
+	if h != nil && now.Sub(h.lastProgress) < trustOwnProgressFor {
 		return false
 	}
-	_, doubts := others.Suspects[group]
-	return doubts
+	_, suspected := others.Suspects[group]
+	return suspected
 }
 
 func totalLoad(h *health, others *gossip.Totals, id string) int {
--- a/internal/picker/cold_test.go
+++ b/internal/picker/cold_test.go
@@ -14,15 +14,15 @@
 	"moorrun.dev/moorrun/internal/picker"
 )
 
-// coldFleet is nodes that send to one cold endpoint and hear each other late.
+// coldFleet is a set of nodes that send to one cold endpoint and receive each other's status with a delay.
 type coldFleet struct {
 	pickers []*picker.Picker
-	late    int // beats
-	beats   [][]gossip.Status
+	delay   int               // delay in heartbeats
+	beats   [][]gossip.Status // statuses of all nodes by heartbeat
 }
 
-func newColdFleet(nodes, late int) *coldFleet {
-	f := &coldFleet{late: late}
+func newColdFleet(nodes, delay int) *coldFleet {
+	f := &coldFleet{delay: delay}
 	directory := endpoint.NewDirectory(time.Second)
 	directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", Zone: "near", ColdLeft: time.Hour}}, nil, time.Now())
 	for i := range nodes {
@@ -36,7 +36,7 @@
 
 func (f *coldFleet) others(node int) *gossip.Totals {
 	total := gossip.NewTotals()
-	if i := len(f.beats) - 1 - f.late; i >= 0 {
+	if i := len(f.beats) - 1 - f.delay; i >= 0 {
 		for other, s := range f.beats[i] {
 			if other != node {
 				total.Add(&s)
@@ -56,31 +56,31 @@
 	f.beats = append(f.beats, statuses)
 }
 
-// Guards against a cold endpoint getting more requests in a second than it bears from all nodes together, however soon it answers.
+// Guards against all nodes together sending a cold endpoint more requests in a second than it can take, however fast it answers.
 func TestAllNodesTogetherKeepToWhatAColdEndpointBears(t *testing.T) {
 	const (
 		perSecond = 18
 		allowed   = 1.5*perSecond + 5
-		pressure  = 120 // requests a second
+		pressure  = 120 // offered requests per second
 		step      = 5 * time.Millisecond
 		beat      = 100 * time.Millisecond
 		end       = 5 * time.Second
 	)
 	for _, test := range []struct {
-		about       string
-		nodes, late int
-		answers     time.Duration
+		about        string
+		nodes, delay int
+		answers      time.Duration
 	}{
 		{"a few nodes, long answers", 6, 2, 800 * time.Millisecond},
 		{"many nodes, short answers", 24, 2, 100 * time.Millisecond},
-		{"many nodes that hear each other late", 60, 4, 150 * time.Millisecond},
+		{"many nodes with late heartbeats", 60, 4, 150 * time.Millisecond},
 	} {
 		t.Run(test.about, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				random := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // repeats
-				f := newColdFleet(test.nodes, test.late)
+				random := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // fixed seed for reproducibility
+				f := newColdFleet(test.nodes, test.delay)
 				want := &picker.Want{Service: "plain", ColdPerSecond: perSecond, ColdFor: time.Hour}
-				for range test.late + 1 {
+				for range test.delay + 1 {
 					f.beat()
 				}
 				var sent []time.Duration
--- a/internal/picker/health.go
+++ b/internal/picker/health.go
@@ -3,67 +3,67 @@
 import "time"
 
 const (
-	// smoothing is the weight of a new sample in a running mean.
+	// smoothing is the weight of a new sample in an exponential moving average.
 	smoothing = 0.2
-	// suspectFor is how long a group that stood still is avoided if nothing is heard of it; each further time it
-	// is avoided twice as long, up to suspectAtMost.
-	suspectFor    = 3 * time.Second
-	suspectAtMost = 12 * time.Second
-	// trustOwn is how long a sign of life of a group counts more than the doubts of other nodes.
-	trustOwn = 400 * time.Millisecond
-	// refusedFor is how long an endpoint that refused a request without naming a time is avoided; each further time it is
-	// avoided twice as long, up to refusedAtMost, until it answers one. It is tried anew so often that it soon has its share
-	// again, and seldom enough not to use up the budget of repeats.
-	refusedFor    = 400 * time.Millisecond
-	refusedAtMost = 1600 * time.Millisecond
-	// failedFor is how long an endpoint that refused a connection is avoided.
-	failedFor = time.Second
+	// stallBackoff is how long a stalled group is avoided unless an event arrives from it. The time doubles with each further
+	// stall, up to maxStallBackoff.
+	stallBackoff    = 3 * time.Second
+	maxStallBackoff = 12 * time.Second
+	// trustOwnProgressFor is how long an event that this node received from a group overrides the suspicion of other nodes.
+	trustOwnProgressFor = 400 * time.Millisecond
+	// refusalBackoff is how long an endpoint that refused a request without Retry-After is avoided. The time doubles with each
+	// further refusal, up to maxRefusalBackoff, until the endpoint answers a request. That is short enough for the endpoint to
+	// regain its share soon, and long enough not to use up the retry budget.
+	refusalBackoff    = 400 * time.Millisecond
+	maxRefusalBackoff = 1600 * time.Millisecond
+	// unreachableBackoff is how long a standalone endpoint that could not be reached is avoided.
+	unreachableBackoff = time.Second
 )
 
-// health is what this node has seen of a replica group or of an endpoint that serves alone.
+// health is what this node has observed of a replica group or of a standalone endpoint.
 type health struct {
-	running  int
-	progress time.Time     // last byte of an answer
-	gap      time.Duration // running mean between two events
-	latency  time.Duration // running mean until the first event or the answer
-	failures float64       // running mean of failures, 0 to 1
-	suspect  time.Time     // stood still since; zero if not
-	avoid    time.Time     // until then
-	stood    int           // times in a row that it stood still
-	refusals int           // rounds of refusals in a row
-	refused  time.Time     // it is avoided for them until then
-	touched  time.Time
+	running      int           // requests of this node
+	lastProgress time.Time     // arrival of the last event or answer
+	meanGap      time.Duration // moving average between two events
+	meanLatency  time.Duration // moving average until the first event or the answer
+	failureRate  float64       // moving average of failures, 0 to 1
+	suspectSince time.Time     // when it stalled or could not be reached; zero if neither
+	avoidUntil   time.Time     // end of the back-off after a stall or a failed connection
+	stalls       int           // consecutive stalls
+	refusals     int           // consecutive doublings of the refusal back-off
+	refusedUntil time.Time     // end of the back-off after a refusal
+	lastUsed     time.Time
 }
 
-func mean(old, sample time.Duration) time.Duration {
+func movingAverage(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
 	}
 	return old + time.Duration(smoothing*float64(sample-old))
 }
 
-// avoidMore avoids a group for longer each time, as long as nothing comes from it.
-func (h *health) avoidMore(now time.Time) {
-	if now.Before(h.avoid) {
-		return // another request of the same trouble
+// backOffStall starts the back-off after a stall, which doubles each time until an event arrives.
+func (h *health) backOffStall(now time.Time) {
+	if now.Before(h.avoidUntil) {
+		return // another request hit by the same stall
 	}
-	h.avoid = now.Add(min(suspectFor<<h.stood, suspectAtMost))
-	h.stood++
+	h.avoidUntil = now.Add(min(stallBackoff<<h.stalls, maxStallBackoff))
+	h.stalls++
 }
 
-// refuse avoids what refused a request for longer each time, until it answers one.
-func (h *health) refuse(now time.Time) {
-	if now.Before(h.refused) {
-		return // another request of the same trouble
+// backOffRefusal starts the back-off after a refusal, which doubles each time until a request is answered.
+func (h *health) backOffRefusal(now time.Time) {
+	if now.Before(h.refusedUntil) {
+		return // another request refused in the same back-off period
 	}
-	h.refused = now.Add(min(refusedFor<<h.refusals, refusedAtMost))
-	if refusedFor<<h.refusals < refusedAtMost {
+	h.refusedUntil = now.Add(min(refusalBackoff<<h.refusals, maxRefusalBackoff))
+	if refusalBackoff<<h.refusals < maxRefusalBackoff {
 		h.refusals++
 	}
 }
 
-func (h *health) refusing(now time.Time) bool { return now.Before(h.refused) }
+func (h *health) refusing(now time.Time) bool { return now.Before(h.refusedUntil) }
 
 func (h *health) suspected(now time.Time) bool {
-	return !h.suspect.IsZero() && now.Before(h.avoid)
+	return !h.suspectSince.IsZero() && now.Before(h.avoidUntil)
 }
--- a/internal/picker/leaving_test.go
+++ b/internal/picker/leaving_test.go
@@ -12,24 +12,24 @@
 	"moorrun.dev/moorrun/internal/picker"
 )
 
-func TestEndpointThatHasSaidItLeavesGetsNothing(t *testing.T) {
+func TestEndpointThatAnnouncedItLeavesGetsNoRequests(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
 	place := f.acquire(t, want())
-	place.SaidLeaving(time.Now())
+	place.RecordLeaving(time.Now())
 	place.Release()
 	_, err := f.picker.Acquire(context.Background(), want())
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-func TestNextLifeOfAnEndpointThatHasLeftGetsRequests(t *testing.T) {
+func TestRestartedEndpointGetsRequestsAfterItLeft(t *testing.T) {
 	f := newFleet()
 	alone := func(born int64) *endpoint.Endpoint {
 		return &endpoint.Endpoint{ID: endpoint.Life("i-1", born), Service: "s"}
 	}
 	f.directory.Apply([]*endpoint.Endpoint{alone(1)}, nil, time.Now())
 	w := &picker.Want{Service: "s"}
-	f.acquire(t, w).SaidLeaving(time.Now())
+	f.acquire(t, w).RecordLeaving(time.Now())
 	_, err := f.picker.Acquire(context.Background(), w)
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("%v", err))
 	f.directory.Apply([]*endpoint.Endpoint{alone(2)}, nil, time.Now())
--- a/internal/picker/limit_test.go
+++ b/internal/picker/limit_test.go
@@ -13,13 +13,13 @@
 	"moorrun.dev/moorrun/internal/ratelimit"
 )
 
-func TestRequestThatMayNotGoToALimitedEndpointGoesToTheNextBest(t *testing.T) {
+func TestRequestOverAnEndpointsLimitGoesToTheNextBest(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "near", endpoint.Open, endpoint.Ready)
 	limited := f.acquire(t, want())
-	limited.SaidLimit(ratelimit.Limit{PerSecond: 0.1, Named: true}, time.Now(), time.Now())
-	for range 4 + 2 { // its places and its queue
+	limited.RecordLimit(ratelimit.Limit{PerSecond: 0.1, Named: true}, time.Now(), time.Now())
+	for range 4 + 2 { // the slots and the queue of the other group
 		qt.Check(t, f.acquire(t, want()).Group, qt.Not(qt.Equals), limited.Group)
 	}
 	_, err := f.picker.Acquire(context.Background(), want())
--- a/internal/picker/observe.go
+++ b/internal/picker/observe.go
@@ -8,125 +8,125 @@
 )
 
 const (
-	// firstPatience is how long a replica group may send nothing at all before it counts as standing still.
-	firstPatience = 1500 * time.Millisecond
-	// leastPatience and mostPatience bound the wait for the next event of a running stream. A group that reads several
-	// long prompts in one pass is silent for some 300 ms; taking it for dead sends its streams to others, whose
-	// passes grow in turn, and a stream that is sent again is late in any case.
-	leastPatience = 600 * time.Millisecond
-	mostPatience  = 1000 * time.Millisecond
-	// firstDoubt, leastDoubt and mostDoubt are the waits after which a group is doubted: others are preferred for new
-	// requests, and the leader asks its members.
-	firstDoubt = 700 * time.Millisecond
-	leastDoubt = 250 * time.Millisecond
-	mostDoubt  = 600 * time.Millisecond
-	// gapsPatience is how many usual pauses between events are waited.
-	gapsPatience = 4
+	// firstEventTimeout is how long a replica group may send nothing to a request before its first event.
+	firstEventTimeout = 1500 * time.Millisecond
+	// minEventTimeout and maxEventTimeout bound the wait for the next event of a running stream. A group that reads several
+	// long prompts in one pass sends nothing for some 300 ms. Treating it as dead would move its streams to other groups, whose
+	// passes would grow in turn, and a stream that is sent again is late in any case.
+	minEventTimeout = 600 * time.Millisecond
+	maxEventTimeout = 1000 * time.Millisecond
+	// firstSuspectAfter, minSuspectAfter and maxSuspectAfter are the corresponding waits after which a group is suspected:
+	// new requests prefer other groups, and the leader asks the group's members whether they are alive.
+	firstSuspectAfter = 700 * time.Millisecond
+	minSuspectAfter   = 250 * time.Millisecond
+	maxSuspectAfter   = 600 * time.Millisecond
+	// eventTimeoutGaps is the multiple of the mean gap between events that is waited, within the bounds above.
+	eventTimeoutGaps = 4
 )
 
-// First notes that the first event, or the answer, came after that time.
-func (p *Place) First(latency time.Duration, now time.Time) {
+// RecordFirstEvent records that the first event, or the whole answer, arrived latency after the request was sent.
+func (p *Place) RecordFirstEvent(latency time.Duration, now time.Time) {
 	p.update(now, func(h *health) {
-		h.latency = mean(h.latency, latency)
-		h.failures -= smoothing * h.failures
+		h.meanLatency = movingAverage(h.meanLatency, latency)
+		h.failureRate -= smoothing * h.failureRate
 	})
 }
 
-// Progress notes an event that came that long after the one before.
-func (p *Place) Progress(gap time.Duration, now time.Time) {
-	p.update(now, func(h *health) { h.gap = mean(h.gap, gap) })
+// RecordEvent records an event that arrived gap after the previous one.
+func (p *Place) RecordEvent(gap time.Duration, now time.Time) {
+	p.update(now, func(h *health) { h.meanGap = movingAverage(h.meanGap, gap) })
 }
 
-// update notes a sign of life and applies change.
+// update records that the endpoint is alive, which clears its stalls and refusals, and applies change.
 func (p *Place) update(now time.Time, change func(*health)) {
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
 	h := p.picker.healthOf(p.key(), now)
-	h.progress = now
-	h.suspect, h.refused = time.Time{}, time.Time{}
-	h.stood, h.refusals = 0, 0
+	h.lastProgress = now
+	h.suspectSince, h.refusedUntil = time.Time{}, time.Time{}
+	h.stalls, h.refusals = 0, 0
 	change(h)
 }
 
-// SaidLimit takes in what the answer to a request that was sent at sent says of the endpoint's limit.
-func (p *Place) SaidLimit(l ratelimit.Limit, sent, now time.Time) {
+// RecordLimit records the rate limit announced in the answer to a request that was sent at sent.
+func (p *Place) RecordLimit(l ratelimit.Limit, sent, now time.Time) {
 	p.picker.options.Limits.Said(p.Endpoint.ID, l, sent, now)
 }
 
-// SaidLeaving notes that the endpoint has said in an answer that it leaves.
-func (p *Place) SaidLeaving(now time.Time) {
+// RecordLeaving records that the endpoint has announced in an answer that it is about to leave.
+func (p *Place) RecordLeaving(now time.Time) {
 	p.picker.options.Directory.MarkLeaving(p.Endpoint.ID, now)
 }
 
-// Limit returns the limit that the endpoint has named last.
+// Limit returns the rate limit that the endpoint announced last.
 func (p *Place) Limit() ratelimit.Limit { return p.picker.options.Limits.Limit(p.Endpoint.ID) }
 
-// Failed notes that the endpoint failed the request or could not be reached.
-func (p *Place) Failed(unreachable bool, now time.Time) {
+// RecordFailure records that the endpoint failed the request, or could not be reached if unreachable is set.
+func (p *Place) RecordFailure(unreachable bool, now time.Time) {
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
 	h := p.picker.healthOf(p.key(), now)
-	h.failures += smoothing * (1 - h.failures)
+	h.failureRate += smoothing * (1 - h.failureRate)
 	switch {
 	case !unreachable:
 	case p.Group == "":
-		h.suspect, h.avoid = now, now.Add(failedFor)
+		h.suspectSince, h.avoidUntil = now, now.Add(unreachableBackoff)
 	default:
-		h.suspect = now
-		h.avoidMore(now)
+		h.suspectSince = now
+		h.backOffStall(now)
 	}
 }
 
-// Refused notes that the endpoint refused the request without Retry-After. One that was full is not avoided
-// for that: its load tells as much.
-func (p *Place) Refused(now time.Time) {
+// RecordRefusal records that the endpoint refused the request without Retry-After. An endpoint that was full is not avoided for
+// it, because its load already steers requests away.
+func (p *Place) RecordRefusal(now time.Time) {
 	if slots := p.Endpoint.Slots; slots > 0 && p.Requests >= slots {
-		p.Failed(false, now)
+		p.RecordFailure(false, now)
 		return
 	}
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
-	p.picker.healthOf(p.key(), now).refuse(now)
+	p.picker.healthOf(p.key(), now).backOffRefusal(now)
 }
 
-// Patience returns until when the next sign of life should come, for a request that got its last one (or was
-// sent) at since, and from when on the group is to be doubted. Any sign of life of the same group counts for a
-// request that has got nothing yet: its prompt waits its turn.
-func (p *Place) Patience(since time.Time, begun bool) (doubt, until time.Time) {
+// StallDeadlines returns when the group is to be suspected and when the stream times out, for a request whose last event came
+// (or that was sent) at since. As long as the request has had no event, any event of the same group extends both, since its
+// prompt may be waiting to be read.
+func (p *Place) StallDeadlines(since time.Time, begun bool) (suspectAt, timeoutAt time.Time) {
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
 	h := p.picker.healthOf(p.key(), since)
 	if !begun {
-		if h.progress.After(since) {
-			since = h.progress
+		if h.lastProgress.After(since) {
+			since = h.lastProgress
 		}
-		return since.Add(firstDoubt), since.Add(firstPatience)
+		return since.Add(firstSuspectAfter), since.Add(firstEventTimeout)
 	}
-	usual := gapsPatience * h.gap
-	return since.Add(min(max(usual, leastDoubt), mostDoubt)), since.Add(min(max(usual, leastPatience), mostPatience))
+	expected := eventTimeoutGaps * h.meanGap
+	return since.Add(min(max(expected, minSuspectAfter), maxSuspectAfter)), since.Add(min(max(expected, minEventTimeout), maxEventTimeout))
 }
 
-// Lost reports whether the leader has found the group to have lost a member, so that nothing more comes from it.
+// Lost reports whether the leader has found that the group has lost a member, so that nothing more will arrive from it.
 func (p *Place) Lost(now time.Time) bool {
 	return p.Group != "" && p.picker.options.Lost != nil && p.picker.options.Lost(p.Group, now)
 }
 
-// StoodStill notes that nothing came in time.
-func (p *Place) StoodStill(now time.Time) {
+// RecordStall records that nothing arrived from the group or endpoint in time.
+func (p *Place) RecordStall(now time.Time) {
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
 	h := p.picker.healthOf(p.key(), now)
-	fresh := h.suspect.IsZero()
-	if fresh {
-		h.suspect = now
+	firstStall := h.suspectSince.IsZero()
+	if firstStall {
+		h.suspectSince = now
 	}
-	h.avoidMore(now)
-	if fresh && p.Group != "" && p.picker.options.Doubted != nil {
+	h.backOffStall(now)
+	if firstStall && p.Group != "" && p.picker.options.Doubted != nil {
 		p.picker.options.Doubted()
 	}
 }
 
-// Report fills in what the other nodes are told.
+// Report fills in the picker's part of the status that this node sends to the others.
 func (p *Picker) Report(s *gossip.Status, now time.Time) {
 	snapshot := p.options.Directory.Read()
 	p.mu.Lock()
@@ -145,8 +145,8 @@
 				s.Loads[gossip.KeyOf(key)] = h.running
 			}
 		}
-		if h.suspected(now) && g != nil && now.Sub(h.suspect) < suspectFor {
-			s.Suspects[key] = h.suspect
+		if h.suspected(now) && g != nil && now.Sub(h.suspectSince) < stallBackoff {
+			s.Suspects[key] = h.suspectSince
 		}
 	}
 	s.Demands = make(map[string]gossip.Demand)
--- a/internal/picker/pause.go
+++ b/internal/picker/pause.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// PausedError is returned when each endpoint that serves what is wanted has asked for a pause that lasts longer than the request
-// can wait. The request has not been sent.
+// PausedError is returned when every endpoint that could serve the request has asked for a pause that lasts longer than the
+// request can wait. The request has not been sent.
 type PausedError struct {
-	Left time.Duration // until the first pause ends
+	Remaining time.Duration // time until the first pause ends
 }
 
 func (e *PausedError) Error() string {
-	return fmt.Sprintf("each endpoint that serves it has asked for a pause, the shortest of %s", e.Left.Round(time.Millisecond))
+	return fmt.Sprintf("each endpoint that serves it has asked for a pause, the shortest of %s", e.Remaining.Round(time.Millisecond))
 }
 
 func isPaused(err error) bool {
@@ -23,30 +23,30 @@
 	return errors.As(err, &paused)
 }
 
-// leastPause returns the shortest pause, zero if there are no candidates.
-func leastPause(candidates []candidate) time.Duration {
+// shortestPause returns the shortest remaining pause, zero if there are no candidates.
+func shortestPause(candidates []candidate) time.Duration {
 	if len(candidates) == 0 {
 		return 0
 	}
-	return slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.pause, b.pause) }).pause
+	return slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.remainingPause, b.remainingPause) }).remainingPause
 }
 
-// pauses are the ends of the pauses that endpoints have asked this node for, by their IDs.
+// pauses holds, by endpoint ID, the ends of the pauses that endpoints have asked this node for.
 type pauses map[string]time.Time
 
-// ask notes a pause until then; an earlier one that lasts longer holds on.
-func (p pauses) ask(endpoint string, until time.Time) {
+// extend sets the end of the endpoint's pause to until, unless its present pause ends later.
+func (p pauses) extend(endpoint string, until time.Time) {
 	if until.After(p[endpoint]) {
 		p[endpoint] = until
 	}
 }
 
-// left returns what is left of the endpoint's pause, zero if it has none.
-func (p pauses) left(endpoint string, now time.Time) time.Duration {
+// remaining returns the remaining time of the endpoint's pause, zero if it has none.
+func (p pauses) remaining(endpoint string, now time.Time) time.Duration {
 	return max(0, p[endpoint].Sub(now))
 }
 
-// sweep forgets the pauses that are over.
+// sweep removes the pauses that have ended.
 func (p pauses) sweep(now time.Time) {
 	for endpoint, until := range p {
 		if !now.Before(until) {
@@ -55,27 +55,27 @@
 	}
 }
 
-// AskedToPause notes that the endpoint has asked this node for a pause of that length.
-func (p *Place) AskedToPause(pause time.Duration, now time.Time) {
+// RecordPause records that the endpoint has asked this node to send it nothing for the given time.
+func (p *Place) RecordPause(pause time.Duration, now time.Time) {
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
-	p.picker.pauses.ask(p.Endpoint.ID, now.Add(pause))
+	p.picker.pauses.extend(p.Endpoint.ID, now.Add(pause))
 }
 
-// PauseLeft returns what is left of the endpoint's pause.
-func (p *Place) PauseLeft(now time.Time) time.Duration {
+// RemainingPause returns the remaining time of the endpoint's pause, zero if it has none.
+func (p *Place) RemainingPause(now time.Time) time.Duration {
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
-	return p.picker.pauses.left(p.Endpoint.ID, now)
+	return p.picker.pauses.remaining(p.Endpoint.ID, now)
 }
 
-// Pausing returns how many endpoints have asked this node for a pause that is not over.
+// Pausing returns how many endpoints have asked this node for a pause that has not ended.
 func (p *Picker) Pausing(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for endpoint := range p.pauses {
-		if p.pauses.left(endpoint, now) > 0 {
+		if p.pauses.remaining(endpoint, now) > 0 {
 			n++
 		}
 	}
--- a/internal/picker/pause_test.go
+++ b/internal/picker/pause_test.go
@@ -12,38 +12,38 @@
 	"moorrun.dev/moorrun/internal/picker"
 )
 
-func TestEndpointThatAskedForAPauseIsPassedOver(t *testing.T) {
+func TestPausedEndpointIsNotChosen(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
 	asked := f.acquire(t, want())
-	asked.AskedToPause(time.Minute, time.Now())
-	asked.AskedToPause(time.Second, time.Now()) // the longer one holds on
+	asked.RecordPause(time.Minute, time.Now())
+	asked.RecordPause(time.Second, time.Now()) // does not shorten the longer pause
 	asked.Release()
 	qt.Check(t, f.picker.Pausing(time.Now()), qt.Equals, 1)
 	for range 4 + 2 {
 		place, err := f.picker.Acquire(context.Background(), want())
 		if err == nil {
-			qt.Check(t, place.Group, qt.Not(qt.Equals), asked.Group, qt.Commentf("it is chosen though others are full"))
+			qt.Check(t, place.Group, qt.Not(qt.Equals), asked.Group, qt.Commentf("a paused group is not chosen even if the others are full"))
 		}
 	}
 	f.picker.Sweep(time.Now().Add(2 * time.Minute))
 	qt.Check(t, f.picker.Pausing(time.Now()), qt.Equals, 0)
 }
 
-func TestRequestIsRefusedAtOnceIfAllEndpointsPauseForLonger(t *testing.T) {
+func TestRequestIsRefusedAtOnceIfAllPausesOutlastItsWait(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
 	for _, pause := range []time.Duration{time.Hour, 2 * time.Hour} {
 		place := f.acquire(t, want())
-		place.AskedToPause(pause, time.Now())
+		place.RecordPause(pause, time.Now())
 		place.Release()
 	}
 	w := want()
-	w.Patience = time.Minute // waiting for this would time the test out
+	w.MaxWait = time.Minute // longer than the test may take, so it fails if the request waits
 	_, err := f.picker.Acquire(context.Background(), w)
 	var paused *picker.PausedError
 	qt.Assert(t, errors.As(err, &paused), qt.IsTrue, qt.Commentf("%v", err))
-	qt.Check(t, paused.Left > 50*time.Minute && paused.Left <= time.Hour, qt.IsTrue, qt.Commentf("%s", paused.Left))
+	qt.Check(t, paused.Remaining > 50*time.Minute && paused.Remaining <= time.Hour, qt.IsTrue, qt.Commentf("%s", paused.Remaining))
 }
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -1,5 +1,5 @@
-// Package picker chooses the endpoint for each request: a replica group whose members have all been ready, or
-// an endpoint that serves alone, by the requests that all nodes have there and by what this node has seen of it.
+// Package picker chooses the endpoint for each request: a replica group whose members have all been ready, or a standalone
+// endpoint. The choice depends on the running requests of all nodes at each endpoint and on what this node has observed of it.
 package picker
 
 import (
@@ -16,45 +16,44 @@
 )
 
 const (
-	// overflow is how many requests may wait at a full replica group, by its own queue: more would hardly be answered
-	// within their objective, and a refused one comes back in time more often.
-	overflow = 2
-	// forgetAfter is how long the health of what is not used is kept.
-	forgetAfter = 30 * time.Second
+	// maxGroupQueue is how many requests may wait in the queue of a full replica group. More of them would rarely be answered
+	// within their objective; a refused request that the caller retries is in time more often.
+	maxGroupQueue = 2
+	// healthRetention is how long the health of an unused group or endpoint is kept.
+	healthRetention = 30 * time.Second
 )
 
-// Options are what a Picker works with.
+// Options configures a Picker.
 type Options struct {
-	Zone      string
+	Zone      string // this node's data centre
 	Directory *endpoint.Directory
-	// Others returns the loads and doubts of the other nodes.
+	// Others returns the totals of what the other nodes have reported, such as their loads and the groups they suspect.
 	Others func(now time.Time) *gossip.Totals
 	// Retiring returns the replica groups that the leader is about to end.
 	Retiring func(now time.Time) map[string]bool
-	// Doubted is called when a replica group has begun to stand still at this node; it must not block. Nil if nobody needs
-	// to be told.
+	// Doubted is called when this node first sees a replica group stall; it must not block. It may be nil.
 	Doubted func()
-	// Limits are the rate limits that endpoints name; nil for a table of the Picker's own.
+	// Limits holds the rate limits that endpoints announce; nil for a table private to the Picker.
 	Limits *ratelimit.Table
-	// Lost reports whether the leader has found a replica group to have lost a member; nil if nobody tells.
+	// Lost reports whether the leader has found that a replica group has lost a member. It may be nil.
 	Lost func(group string, now time.Time) bool
 }
 
-// Picker chooses endpoints.
+// Picker chooses an endpoint for each request and counts the requests of this node that run there.
 type Picker struct {
 	options Options
 
-	mu       sync.Mutex
-	health   map[string]*health
-	running  map[string]int  // by workspace
-	complete map[string]bool // groups that had all their members ready
-	waiting  []*waiter
-	demand   map[string]int       // waiting by model
-	busy     map[string]int       // running by model
-	arrivals map[string]*arrivals // by model
-	pauses   pauses
-	cold     *ratelimit.Cold
-	random   uint64
+	mu                 sync.Mutex
+	health             map[string]*health
+	runningByWorkspace map[string]int  // running requests by workspace
+	wasComplete        map[string]bool // groups whose members have all been ready at the same time
+	waiting            []*waiter
+	waitingByModel     map[string]int       // waiting requests by model
+	runningByModel     map[string]int       // running requests by model
+	arrivals           map[string]*arrivals // arrival rates by model
+	pauses             pauses
+	cold               *ratelimit.Cold
+	randomState        uint64
 }
 
 // New returns a Picker.
@@ -63,26 +62,26 @@
 		o.Limits = ratelimit.NewTable(clock.Now())
 	}
 	return &Picker{
-		options: o, health: make(map[string]*health), running: make(map[string]int), complete: make(map[string]bool),
-		demand: make(map[string]int), busy: make(map[string]int), arrivals: make(map[string]*arrivals), pauses: make(pauses),
+		options: o, health: make(map[string]*health), runningByWorkspace: make(map[string]int), wasComplete: make(map[string]bool),
+		waitingByModel: make(map[string]int), runningByModel: make(map[string]int), arrivals: make(map[string]*arrivals), pauses: make(pauses),
 		cold: ratelimit.NewCold(clock.Now()),
 	}
 }
 
-// Acquire returns a place, waiting for one up to the want's patience.
+// Acquire returns a place for the request. It waits for one for up to w.MaxWait.
 func (p *Picker) Acquire(ctx context.Context, w *Want) (*Place, error) {
 	p.mu.Lock()
-	p.arrive(w, clock.Now())
-	if !p.someoneWaitsFor(w) {
-		place, err := p.try(w, clock.Now(), false)
-		if place != nil || err != nil && (w.Patience <= 0 || isPaused(err)) {
+	p.recordArrival(w, clock.Now())
+	if !p.hasWaiterFor(w) {
+		place, err := p.tryAcquire(w, clock.Now(), false)
+		if place != nil || err != nil && (w.MaxWait <= 0 || isPaused(err)) {
 			p.mu.Unlock()
 			return place, err
 		}
 	}
 	q := p.enqueue(w)
 	p.mu.Unlock()
-	timer := time.NewTimer(w.Patience)
+	timer := time.NewTimer(w.MaxWait)
 	defer timer.Stop()
 	select {
 	case place := <-q.granted:
@@ -101,47 +100,48 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	place, err := p.try(w, clock.Now(), true)
+	place, err := p.tryAcquire(w, clock.Now(), true)
 	if place == nil && err == nil {
 		err = ErrNoPlace
 	}
 	return place, err
 }
 
-// arrive counts in a request for a model.
-func (p *Picker) arrive(w *Want, now time.Time) {
+// recordArrival counts a request in its model's arrival rates. Requests without a model are not counted.
+func (p *Picker) recordArrival(w *Want, now time.Time) {
 	if w.Model == "" {
 		return
 	}
 	if p.arrivals[w.Model] == nil {
-		p.arrivals[w.Model] = &arrivals{at: now}
+		p.arrivals[w.Model] = &arrivals{updated: now}
 	}
 	p.arrivals[w.Model].add(w, now)
 }
 
-// try returns a place if there is one; with full set, also one in the queue of a full replica group.
-func (p *Picker) try(w *Want, now time.Time, full bool) (*Place, error) {
+// tryAcquire returns a place if one is free, and neither a place nor an error if the request has to wait. With useQueue set it
+// also takes a place in the queue of a full replica group.
+func (p *Picker) tryAcquire(w *Want, now time.Time, useQueue bool) (*Place, error) {
 	others := p.options.Others(now)
 	p.options.Limits.Learn(others.Limits, now)
 	candidates := p.candidates(w, others, now)
 	if len(candidates) == 0 {
 		return nil, ErrNoEndpoint
 	}
-	if left := leastPause(candidates); left > w.Patience {
+	if left := shortestPause(candidates); left > w.MaxWait {
 		return nil, &PausedError{left}
 	}
-	candidates = slices.DeleteFunc(candidates, func(c candidate) bool { return c.full(w, full) })
+	candidates = slices.DeleteFunc(candidates, func(c candidate) bool { return c.full(w, useQueue) })
 	for len(candidates) > 0 {
 		best := p.best(w, candidates)
 		if p.admit(&best, others, now) {
-			return p.take(w, &best, now), nil
+			return p.reserve(w, &best, now), nil
 		}
 		candidates = slices.DeleteFunc(candidates, func(c candidate) bool { return c.endpoint == best.endpoint })
 	}
-	return nil, nil //nolint:nilnil // neither a place nor a failure: wait
+	return nil, nil //nolint:nilnil // neither a place nor an error: the request has to wait
 }
 
-// admit reports whether the chosen candidate may be sent one more request within its rate limits, and counts it.
+// admit reports whether the candidate's rate limits allow one more request, and counts the request if so.
 func (p *Picker) admit(c *candidate, others *gossip.Totals, now time.Time) bool {
 	if c.coldPerSecond > 0 && !p.cold.Admit(c.endpoint.ID, c.coldPerSecond, others, now) {
 		return false
@@ -149,7 +149,7 @@
 	return p.options.Limits.Admit(c.endpoint.ID, others.Limits, now)
 }
 
-// best returns the candidate of the least cost among those that the choice is made among.
+// best returns the cheapest candidate: for replica groups the cheapest of a random sample, otherwise the cheapest of all.
 func (p *Picker) best(w *Want, candidates []candidate) candidate {
 	if w.Model != "" {
 		candidates = p.sample(candidates)
@@ -157,12 +157,12 @@
 	return slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 }
 
-func (p *Picker) take(w *Want, c *candidate, now time.Time) *Place {
+func (p *Picker) reserve(w *Want, c *candidate, now time.Time) *Place {
 	place := &Place{Endpoint: c.endpoint, Group: c.group, Requests: c.load, picker: p, workspace: w.Workspace, model: w.Model}
 	h := p.healthOf(place.key(), now)
 	h.running++
-	p.running[w.Workspace]++
-	p.busy[w.Model]++
+	p.runningByWorkspace[w.Workspace]++
+	p.runningByModel[w.Model]++
 	return place
 }
 
@@ -171,9 +171,9 @@
 	defer p.mu.Unlock()
 	now := clock.Now()
 	p.healthOf(place.key(), now).running--
-	p.busy[place.model]--
-	if p.running[place.workspace]--; p.running[place.workspace] <= 0 {
-		delete(p.running, place.workspace)
+	p.runningByModel[place.model]--
+	if p.runningByWorkspace[place.workspace]--; p.runningByWorkspace[place.workspace] <= 0 {
+		delete(p.runningByWorkspace, place.workspace)
 	}
 	p.grant(now)
 }
@@ -184,27 +184,27 @@
 		h = &health{}
 		p.health[key] = h
 	}
-	h.touched = now
+	h.lastUsed = now
 	return h
 }
 
-// Review grants places after a change of the directory or of the other nodes' loads.
+// Review grants places to waiting requests after a change of the directory or of the other nodes' loads.
 func (p *Picker) Review() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grant(clock.Now())
 }
 
-// Sweep forgets the health of what is not used.
+// Sweep removes pauses that have ended and the health of groups and endpoints that have not been used for healthRetention.
 func (p *Picker) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pauses.sweep(now)
 	p.cold.Sweep(now)
 	for key, h := range p.health {
-		if h.running == 0 && now.Sub(h.touched) > forgetAfter {
+		if h.running == 0 && now.Sub(h.lastUsed) > healthRetention {
 			delete(p.health, key)
-			delete(p.complete, key)
+			delete(p.wasComplete, key)
 		}
 	}
 }
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -14,13 +14,13 @@
 	"moorrun.dev/moorrun/internal/picker"
 )
 
-// fleet is a directory with what the other nodes tell.
+// fleet is a Picker under test with its directory and the statuses of the other nodes.
 type fleet struct {
-	directory *endpoint.Directory
-	peers     []*gossip.Peer
-	retiring  map[string]bool
-	doubts    int // times that a group has begun to stand still
-	picker    *picker.Picker
+	directory    *endpoint.Directory
+	peers        []*gossip.Peer
+	retiring     map[string]bool
+	stallReports int // calls of the callback for a group that stalls
+	picker       *picker.Picker
 }
 
 func newFleet() *fleet {
@@ -35,17 +35,17 @@
 			return total
 		},
 		Retiring: func(time.Time) map[string]bool { return f.retiring },
-		Doubted:  func() { f.doubts++ },
+		Doubted:  func() { f.stallReports++ },
 	})
 	return f
 }
 
-// group lists a group of two in a zone.
-func (f *fleet) group(name, zone string, head, other endpoint.State) {
+// group lists a group of two members, in the given states, in a data centre.
+func (f *fleet) group(name, dataCentre string, head, other endpoint.State) {
 	var members []*endpoint.Endpoint
 	for rank, state := range []endpoint.State{head, other} {
 		members = append(members, &endpoint.Endpoint{
-			ID: fmt.Sprintf("%s-%d", name, rank), Service: "lm", Zone: zone, Models: []string{"m"},
+			ID: fmt.Sprintf("%s-%d", name, rank), Service: "lm", Zone: dataCentre, Models: []string{"m"},
 			Membership: &endpoint.Membership{Group: name, Epoch: 1, Rank: rank, State: state},
 		})
 	}
@@ -61,7 +61,7 @@
 	return place
 }
 
-func TestOnlyWholeOpenGroupsServe(t *testing.T) {
+func TestOnlyCompleteOpenGroupsServe(t *testing.T) {
 	f := newFleet()
 	f.group("joining", "near", endpoint.Open, endpoint.Joining)
 	f.group("ready", "near", endpoint.Ready, endpoint.Ready)
@@ -73,7 +73,7 @@
 	qt.Check(t, f.acquire(t, want()).Endpoint.ID, qt.Equals, "open-0", qt.Commentf("requests go to the head"))
 }
 
-func TestGroupThatWasWholeServesOnWhileAMemberIsNotListed(t *testing.T) {
+func TestCompleteGroupKeepsServingWhileAMemberIsNotListed(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
 	f.acquire(t, want())
@@ -81,10 +81,10 @@
 	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "g")
 	f.directory.Apply(nil, []string{"g-0"}, time.Now())
 	_, err := f.picker.Acquire(context.Background(), want())
-	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("without its head it does not"))
+	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("a group without its head does not serve"))
 }
 
-func TestLeavingHeadGetsNothing(t *testing.T) {
+func TestDrainingHeadGetsNoRequests(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
 	head := *f.directory.Read().Endpoints["g-0"]
@@ -94,7 +94,7 @@
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue)
 }
 
-func TestRetiringGroupGetsNothing(t *testing.T) {
+func TestRetiringGroupGetsNoRequests(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
 	f.retiring["g"] = true
@@ -102,15 +102,15 @@
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue)
 }
 
-func TestOwnZoneIsPreferredUntilItIsBusier(t *testing.T) {
+func TestOwnDataCentreIsPreferredUntilItIsBusier(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
-	zones := map[string]int{}
+	dataCentres := map[string]int{}
 	for range 8 {
-		zones[f.acquire(t, want()).Endpoint.Zone]++
+		dataCentres[f.acquire(t, want()).Endpoint.Zone]++
 	}
-	qt.Check(t, zones, qt.DeepEquals, map[string]int{"near": 4, "far": 4}, qt.Commentf("both are full"))
+	qt.Check(t, dataCentres, qt.DeepEquals, map[string]int{"near": 4, "far": 4}, qt.Commentf("both groups are filled"))
 	first := newFleet()
 	first.group("a", "near", endpoint.Open, endpoint.Ready)
 	first.group("b", "far", endpoint.Open, endpoint.Ready)
@@ -127,11 +127,11 @@
 	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "b")
 }
 
-func TestFullGroupsTakeAFewIntoTheirQueueAndThenNoMore(t *testing.T) {
+func TestFullGroupsQueueAFewRequestsAndThenNoMore(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	w := want()
-	w.Patience = time.Millisecond
+	w.MaxWait = time.Millisecond
 	n := 0
 	for {
 		_, err := f.picker.Acquire(context.Background(), w)
@@ -141,7 +141,7 @@
 		}
 		n++
 	}
-	qt.Check(t, n > 4 && n <= 12, qt.IsTrue, qt.Commentf("%d", n))
+	qt.Check(t, n > 4 && n <= 12, qt.IsTrue, qt.Commentf("%d requests taken", n))
 }
 
 func TestReleasedPlaceGoesToTheMostUrgentWaiter(t *testing.T) {
@@ -156,7 +156,7 @@
 	for _, priority := range []int{5, 1} {
 		go func() {
 			w := want()
-			w.Priority, w.Patience = priority, time.Minute
+			w.Priority, w.MaxWait = priority, time.Minute
 			started <- true
 			if _, err := f.picker.Acquire(context.Background(), w); err == nil {
 				got <- priority
@@ -170,50 +170,50 @@
 	}
 	held[0].Release()
 	qt.Check(t, <-got, qt.Equals, 1)
-	held[0].Release() // a second release changes nothing
+	held[0].Release() // a second release has no effect
 	held[1].Release()
 	qt.Check(t, <-got, qt.Equals, 5)
 }
 
-// waiting returns how many requests wait, as the other nodes are told.
+// waiting returns the number of waiting requests that the picker reports to the other nodes.
 func waiting(f *fleet) int {
 	var s gossip.Status
 	f.picker.Report(&s, time.Now())
 	return s.Demands["m"].Waiting
 }
 
-func TestGroupThatStoodStillIsAvoidedUntilItMoves(t *testing.T) {
+func TestStalledGroupIsAvoidedUntilAnEventArrives(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
 	place := f.acquire(t, want())
 	qt.Assert(t, place.Group, qt.Equals, "a")
-	place.StoodStill(time.Now())
+	place.RecordStall(time.Now())
 	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "b")
 	var s gossip.Status
 	f.picker.Report(&s, time.Now())
-	_, told := s.Suspects["a"]
-	qt.Check(t, told, qt.IsTrue)
-	place.Progress(time.Millisecond, time.Now())
+	_, reported := s.Suspects["a"]
+	qt.Check(t, reported, qt.IsTrue)
+	place.RecordEvent(time.Millisecond, time.Now())
 	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "a")
 }
 
-func TestPatienceCountsFromTheGroupsLastSignBeforeTheFirstEvent(t *testing.T) {
+func TestFirstEventTimeoutCountsFromTheGroupsLastEvent(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	waits, runs := f.acquire(t, want()), f.acquire(t, want())
 	sent := time.Now()
-	_, before := waits.Patience(sent, false)
-	runs.Progress(20*time.Millisecond, sent.Add(500*time.Millisecond))
-	doubt, until := waits.Patience(sent, false)
-	qt.Check(t, until.After(before), qt.IsTrue, qt.Commentf("another stream goes on: its prompt waits its turn"))
-	qt.Check(t, doubt.Before(until), qt.IsTrue, qt.Commentf("doubts come before the stream is given up"))
-	doubt, until = waits.Patience(sent, true)
-	qt.Check(t, until.Before(before), qt.IsTrue, qt.Commentf("once begun, events come soon"))
-	qt.Check(t, doubt.Before(until), qt.IsTrue)
+	_, before := waits.StallDeadlines(sent, false)
+	runs.RecordEvent(20*time.Millisecond, sent.Add(500*time.Millisecond))
+	suspectAt, timeoutAt := waits.StallDeadlines(sent, false)
+	qt.Check(t, timeoutAt.After(before), qt.IsTrue, qt.Commentf("an event of another stream extends the deadline while the prompt waits to be read"))
+	qt.Check(t, suspectAt.Before(timeoutAt), qt.IsTrue, qt.Commentf("a group is suspected before its stream times out"))
+	suspectAt, timeoutAt = waits.StallDeadlines(sent, true)
+	qt.Check(t, timeoutAt.Before(before), qt.IsTrue, qt.Commentf("after the first event the timeout is shorter"))
+	qt.Check(t, suspectAt.Before(timeoutAt), qt.IsTrue)
 }
 
-func TestEndpointsThatServeAlone(t *testing.T) {
+func TestStandaloneEndpoints(t *testing.T) {
 	f := newFleet()
 	f.directory.Apply([]*endpoint.Endpoint{
 		{ID: "good", Service: "plain", Zone: "far"}, {ID: "bad", Service: "plain", Zone: "near"},
@@ -223,23 +223,23 @@
 	first := f.acquire(t, w)
 	qt.Check(t, first.Endpoint.ID, qt.Equals, "bad")
 	for range 10 {
-		first.Failed(false, time.Now())
+		first.RecordFailure(false, time.Now())
 	}
-	qt.Check(t, f.acquire(t, w).Endpoint.ID, qt.Equals, "good", qt.Commentf("it fails too often"))
+	qt.Check(t, f.acquire(t, w).Endpoint.ID, qt.Equals, "good", qt.Commentf("the other endpoint has failed too often"))
 	qt.Check(t, f.acquire(t, &picker.Want{Service: "plain", Exclude: []string{"good"}}).Endpoint.ID, qt.Equals, "bad")
 }
 
-func TestGroupThatBeginsToStandStillIsToldOnce(t *testing.T) {
+func TestStalledGroupIsReportedOnce(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
 	place := f.acquire(t, want())
 	now := time.Now()
-	place.StoodStill(now)
-	place.StoodStill(now.Add(time.Millisecond))
-	qt.Check(t, f.doubts, qt.Equals, 1)
-	place.Progress(time.Millisecond, now.Add(2*time.Millisecond))
-	place.StoodStill(now.Add(time.Second))
-	qt.Check(t, f.doubts, qt.Equals, 2, qt.Commentf("it had gone on meanwhile"))
+	place.RecordStall(now)
+	place.RecordStall(now.Add(time.Millisecond))
+	qt.Check(t, f.stallReports, qt.Equals, 1)
+	place.RecordEvent(time.Millisecond, now.Add(2*time.Millisecond))
+	place.RecordStall(now.Add(time.Second))
+	qt.Check(t, f.stallReports, qt.Equals, 2, qt.Commentf("an event arrived between the two stalls"))
 }
 
 func TestNothingIsSentToADataCentreThatIsOutOfUse(t *testing.T) {
@@ -261,7 +261,7 @@
 	for range 8 {
 		groups[f.acquire(t, want()).Group] = true
 	}
-	qt.Check(t, groups["g-near"], qt.IsTrue, qt.Commentf("it is taken back"))
+	qt.Check(t, groups["g-near"], qt.IsTrue, qt.Commentf("the data centre is back in use"))
 }
 
 func TestColdEndpointsGetFewRequestsAtOnce(t *testing.T) {
@@ -277,7 +277,7 @@
 	}
 	f := newFleet()
 	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", Zone: "near", ColdLeft: time.Hour}}, nil, time.Now())
-	qt.Check(t, taken(f), qt.Equals, perSecond/4, qt.Commentf("it is listed as cold"))
+	qt.Check(t, taken(f), qt.Equals, perSecond/4, qt.Commentf("the endpoint is listed as cold"))
 	f = newFleet()
 	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", Zone: "near"}}, nil, time.Now())
 	qt.Check(t, taken(f), qt.Equals, 10)
@@ -286,5 +286,5 @@
 	f.directory.Evacuate(map[string]bool{"near": true}, time.Now())
 	qt.Check(t, taken(f), qt.Equals, 0)
 	f.directory.Evacuate(nil, time.Now())
-	qt.Check(t, taken(f), qt.Equals, perSecond/4, qt.Commentf("its data centre was taken back just now"))
+	qt.Check(t, taken(f), qt.Equals, perSecond/4, qt.Commentf("the data centre has just been taken back into use"))
 }
--- a/internal/picker/place.go
+++ b/internal/picker/place.go
@@ -6,22 +6,22 @@
 	"moorrun.dev/moorrun/internal/endpoint"
 )
 
-// Place is a request's place at an endpoint, until it is released.
+// Place is the capacity reserved for one request at an endpoint until Release.
 type Place struct {
 	Endpoint *endpoint.Endpoint
-	Group    string // empty for an endpoint that serves alone
-	Requests int    // that it had when it was chosen, as far as was known
+	Group    string // empty for a standalone endpoint
+	Requests int    // known running requests there at the time of the choice
 
-	picker    *Picker
-	workspace string
-	model     string
-	once      sync.Once
+	picker      *Picker
+	workspace   string
+	model       string
+	releaseOnce sync.Once
 }
 
-// Release gives the place back.
-func (p *Place) Release() { p.once.Do(func() { p.picker.release(p) }) }
+// Release frees the place. Further calls have no effect.
+func (p *Place) Release() { p.releaseOnce.Do(func() { p.picker.release(p) }) }
 
-// key names what loads and health are counted by: the replica group, or the endpoint that serves alone.
+// key returns the key of the place's health: the name of the replica group, or the ID of the standalone endpoint.
 func (p *Place) key() string {
 	if p.Group != "" {
 		return p.Group
--- a/internal/picker/queue.go
+++ b/internal/picker/queue.go
@@ -17,19 +17,19 @@
 func (p *Picker) enqueue(w *Want) *waiter {
 	q := &waiter{want: w, arrived: clock.Now(), granted: make(chan *Place, 1)}
 	p.waiting = append(p.waiting, q)
-	p.demand[w.Model]++
+	p.waitingByModel[w.Model]++
 	return q
 }
 
 func (p *Picker) dequeue(q *waiter) {
 	if i := slices.Index(p.waiting, q); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
-		p.demand[q.want.Model]--
+		p.waitingByModel[q.want.Model]--
 	}
 }
 
-// someoneWaitsFor reports whether a request for the same, at least as urgent, waits already.
-func (p *Picker) someoneWaitsFor(w *Want) bool {
+// hasWaiterFor reports whether a request for the same service and model, at least as urgent, is already waiting.
+func (p *Picker) hasWaiterFor(w *Want) bool {
 	for _, q := range p.waiting {
 		if q.want.Service == w.Service && q.want.Model == w.Model && q.want.Priority <= w.Priority {
 			return true
@@ -38,8 +38,8 @@
 	return false
 }
 
-// grant gives free places to waiting requests: the most urgent first, then those of the workspace that has the
-// fewest requests running, then the longest waiting.
+// grant gives free places to waiting requests: the most urgent first, then those of the workspace with the fewest running
+// requests, then those that have waited longest.
 func (p *Picker) grant(now time.Time) {
 	if len(p.waiting) == 0 {
 		return
@@ -49,7 +49,7 @@
 		if a.want.Priority != b.want.Priority {
 			return a.want.Priority - b.want.Priority
 		}
-		return p.running[a.want.Workspace] - p.running[b.want.Workspace]
+		return p.runningByWorkspace[a.want.Workspace] - p.runningByWorkspace[b.want.Workspace]
 	})
 	full := make(map[string]bool)
 	for _, q := range order {
@@ -57,7 +57,7 @@
 		if full[kind] {
 			continue
 		}
-		place, _ := p.try(q.want, now, false)
+		place, _ := p.tryAcquire(q.want, now, false)
 		if place == nil {
 			full[kind] = true
 			continue
--- a/internal/picker/sample_test.go
+++ b/internal/picker/sample_test.go
@@ -12,13 +12,13 @@
 	"moorrun.dev/moorrun/internal/gossip"
 )
 
-// openGroups returns a directory of that many groups of one endpoint each, named by number, in data centres in turn.
-func openGroups(n int, zones ...string) *endpoint.Directory {
+// openGroups returns a directory of n open groups of one endpoint each, named by number and spread over the data centres in turn.
+func openGroups(n int, dataCentres ...string) *endpoint.Directory {
 	var list []*endpoint.Endpoint
 	for i := range n {
 		id := fmt.Sprint(i)
 		list = append(list, &endpoint.Endpoint{
-			ID: id, Service: "lm", Zone: zones[i%len(zones)], Models: []string{"m"}, Membership: &endpoint.Membership{Group: id, Epoch: 1, State: endpoint.Open},
+			ID: id, Service: "lm", Zone: dataCentres[i%len(dataCentres)], Models: []string{"m"}, Membership: &endpoint.Membership{Group: id, Epoch: 1, State: endpoint.Open},
 		})
 	}
 	d := endpoint.NewDirectory(time.Second)
@@ -26,7 +26,7 @@
 	return d
 }
 
-// choices lets many nodes of data centre "a" choose once each, on the same loads, and counts what they choose.
+// choices lets each of the nodes in data centre "a" choose once with the same known loads, and counts the choices by group.
 func choices(t *testing.T, nodes int, d *endpoint.Directory, others *gossip.Totals) map[string]int {
 	t.Helper()
 	out := make(map[string]int)
@@ -35,7 +35,7 @@
 			Zone: "a", Directory: d, Others: func(time.Time) *gossip.Totals { return others },
 			Retiring: func(time.Time) map[string]bool { return nil },
 		})
-		p.random = uint64(node) * 0x9e3779b97f4a7c15
+		p.randomState = uint64(node) * 0x9e3779b97f4a7c15
 		place, err := p.Acquire(context.Background(), &Want{Service: "lm", Model: "m", Slots: 20, Size: 1})
 		qt.Assert(t, err, qt.IsNil)
 		out[place.Group]++
@@ -43,8 +43,8 @@
 	return out
 }
 
-// busyBut returns loads of that many requests at all groups but the first, which has none.
-func busyBut(groups, requests int) *gossip.Totals {
+// loadedExceptFirst returns totals in which every group but the first has the given number of requests.
+func loadedExceptFirst(groups, requests int) *gossip.Totals {
 	others := gossip.NewTotals()
 	for i := 1; i < groups; i++ {
 		others.Loads[gossip.KeyOf(fmt.Sprint(i))] = requests
@@ -54,11 +54,11 @@
 
 func TestGroupThatHasJustOpenedIsNotOverrun(t *testing.T) {
 	const groups, nodes = 20, 1000
-	got := choices(t, nodes, openGroups(groups, "a"), busyBut(groups, 14))["0"]
-	qt.Check(t, got > nodes/groups && got < 3*nodes/groups, qt.IsTrue, qt.Commentf("%d of %d choices", got, nodes))
+	got := choices(t, nodes, openGroups(groups, "a"), loadedExceptFirst(groups, 14))["0"]
+	qt.Check(t, got > nodes/groups && got < 3*nodes/groups, qt.IsTrue, qt.Commentf("the new group got %d of %d choices", got, nodes))
 }
 
-func TestLessLoadedOfTheGroupsThatWereDrawnIsChosen(t *testing.T) {
+func TestLessLoadedOfTheSampledGroupsIsChosen(t *testing.T) {
 	others := gossip.NewTotals()
 	others.Loads = gossip.Loads{gossip.KeyOf("0"): 3, gossip.KeyOf("1"): 9}
 	qt.Check(t, choices(t, 50, openGroups(2, "a"), others), qt.DeepEquals, map[string]int{"0": 50})
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestGroupsThatStandStillAreLeftOutOfTheDraw(t *testing.T) {
+func TestStalledGroupsAreExcludedFromSampling(t *testing.T) {
 	const groups = 10
 	others := gossip.NewTotals()
 	others.Suspects = make(map[string]time.Time)
--- a/internal/picker/want.go
+++ b/internal/picker/want.go
@@ -7,31 +7,31 @@
 	"moorrun.dev/moorrun/internal/engine"
 )
 
-// ErrNoPlace is returned when no endpoint may take the request in time. The request has not been sent.
+// ErrNoPlace is returned when no endpoint had capacity for the request in time. The request has not been sent.
 var ErrNoPlace = errors.New("no place at any endpoint")
 
-// ErrNoEndpoint is returned when no endpoint serves what is wanted. The request has not been sent.
+// ErrNoEndpoint is returned when no endpoint serves the wanted service and model. The request has not been sent.
 var ErrNoEndpoint = errors.New("no endpoint that serves it is left")
 
-// Want says what a request needs.
+// Want describes the place that a request needs.
 type Want struct {
 	Service string
-	Model   string // empty for endpoints that serve alone
+	Model   string // empty for standalone endpoints
 	Slots   int    // requests that a replica group runs at once
 	Size    int    // members of a replica group
-	// PromptTokens is the length of the prompt, and Objective the time within which the first event should come; zero if
-	// they are not known.
+	// PromptTokens is the length of the prompt, and Objective the time within which the first event should arrive. Each is
+	// zero if unknown.
 	PromptTokens int
 	Objective    time.Duration
-	Engine       engine.Model // how a group of the model works; zero if it is not known
-	// ColdFor is how long an endpoint of the service is cold after its start, and ColdPerSecond how many requests a second it
-	// bears then; zero if it bears as many as any.
+	Engine       engine.Model // performance model of a group that runs Model; zero if unknown
+	// ColdFor is how long an endpoint of the service is cold after its start. ColdPerSecond is the rate of requests per second
+	// that a cold endpoint can take; zero if it is not limited.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 	Priority      int // 0 is the most urgent
 	Workspace     string
-	Exclude       []string // groups and endpoints that have failed the request
-	Patience      time.Duration
+	Exclude       []string      // groups and endpoints that have failed the request
+	MaxWait       time.Duration // longest wait for a place
 }
 
 func (w *Want) excludes(key string) bool {
@@ -43,8 +43,9 @@
 	return false
 }
 
-// coldSeconds is for how many seconds' requests a cold endpoint has room at a time, so that its queue stays short if it is slow.
-const coldSeconds = 0.25
+// coldWindowSeconds limits the concurrent requests at a cold endpoint to those that arrive in this time at ColdPerSecond, so that
+// its queue stays short if it is slow.
+const coldWindowSeconds = 0.25
 
-// coldLimit is how many requests a cold endpoint may have.
-func (w *Want) coldLimit() int { return max(1, int(coldSeconds*w.ColdPerSecond)) }
+// coldLimit returns how many concurrent requests a cold endpoint may have.
+func (w *Want) coldLimit() int { return max(1, int(coldWindowSeconds*w.ColdPerSecond)) }
--- a/internal/picker/way.go
+++ b/internal/picker/way.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// zoneCost is what a request has to save to leave its data centre, in requests that its endpoint has less, if nothing is
-	// known of how much later a request more makes the answers there.
-	zoneCost = 3.0
-	// leastZoneCost keeps requests in their data centre where two groups are alike.
-	leastZoneCost = 0.3
-	// zoneTime is the same in time: 2 ms for the way to another data centre and back, and 1 ms for the bytes that it carries,
-	// which are paid for.
-	zoneTime = 3 * time.Millisecond
+	// defaultRemoteCost is the cost of an endpoint in another data centre, in requests, if the latency that one more request
+	// adds there is unknown.
+	defaultRemoteCost = 3.0
+	// minRemoteCost, in requests, keeps requests in their data centre where two groups are equal.
+	minRemoteCost = 0.3
+	// remoteTimeCost is the cost of another data centre as time: 2 ms for the round trip, and 1 ms for the traffic between data
+	// centres, which is charged for.
+	remoteTimeCost = 3 * time.Millisecond
 )
 
-// wayCost is what a group in another data centre costs, in requests. One request more at a group of long prompts makes its
-// answers several milliseconds later, so that the way is worth less than one; at a group of short ones it is worth three.
-func (p *Picker) wayCost(w *Want, others *gossip.Totals, groups int, now time.Time) float64 {
+// remoteCost returns the cost of a group in another data centre, in requests. One more request at a group with long prompts
+// delays its answers by several milliseconds, so that the round trip costs less than one request; with short prompts it costs
+// up to three.
+func (p *Picker) remoteCost(w *Want, others *gossip.Totals, groups int, now time.Time) float64 {
 	demand := others.Demands[w.Model].Plus(p.demandOf(w.Model, now))
 	running := float64(demand.Running) / float64(max(1, groups))
-	later := w.Engine.Marginal(demand.Mix.Part(groups), running)
-	if later <= 0 {
-		return zoneCost
+	added := w.Engine.Marginal(demand.Mix.Part(groups), running)
+	if added <= 0 {
+		return defaultRemoteCost
 	}
-	return min(max(leastZoneCost, float64(zoneTime)/float64(later)), zoneCost)
+	return min(max(minRemoteCost, float64(remoteTimeCost)/float64(added)), defaultRemoteCost)
 }
