--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -31,7 +31,7 @@
 	Others func(now time.Time) *gossip.Totals
 	// Retiring returns the replica groups that the leader is about to end.
 	Retiring func(now time.Time) map[string]bool
-	// Doubted is called when this node first sees a replica group stall; it must not block. It may be nil.
+	// Doubted is called when a replica group begins to stall at this node; it must not block. It may be nil.
 	Doubted func()
 	// Limits holds the rate limits that endpoints announce; nil for a table private to the Picker.
 	Limits *ratelimit.Table
@@ -45,11 +45,11 @@
 
 	mu                 sync.Mutex
 	health             map[string]*health
-	runningByWorkspace map[string]int  // running requests by workspace
+	runningByWorkspace map[string]int
 	wasComplete        map[string]bool // groups whose members have all been ready at the same time
 	waiting            []*waiter
-	waitingByModel     map[string]int       // waiting requests by model
-	runningByModel     map[string]int       // running requests by model
+	waitingByModel     map[string]int
+	runningByModel     map[string]int
 	arrivals           map[string]*arrivals // arrival rates by model
 	pauses             pauses
 	cold               *ratelimit.Cold
--- a/internal/picker/want.go
+++ b/internal/picker/want.go
@@ -19,8 +19,8 @@
 	Model   string // empty for standalone endpoints
 	Slots   int    // requests that a replica group runs at once
 	Size    int    // members of a replica group
-	// PromptTokens is the length of the prompt, and Objective the time within which the first event should arrive. Each is
-	// zero if unknown.
+	// PromptTokens is the length of the prompt in tokens, and Objective the time within which the first event should arrive.
+	// Each is zero if unknown.
 	PromptTokens int
 	Objective    time.Duration
 	Engine       engine.Model // performance model of a group that runs Model; zero if unknown
