--- a/internal/engine/model.go
+++ b/internal/engine/model.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// objectivePart is the part of the objective that the predicted mean time to the first event of a large prompt may
-	// take. The rest is for what the figures leave out, 10 to 20 ms by the logs of a fleet of 71 nodes, and for passes that
-	// happen to read several prompts. Groups given by it answered 79 in 100 long prompts within 300 ms where counting
-	// places had left 71.
-	objectivePart = 2.0 / 3
-	// leastBusy is the part of its time that a group may read prompts though large ones are late even at an idle group: more
-	// groups would not help those, and the others are in time.
-	leastBusy = 0.3
-	// searchSteps of bisection find a rate within a thousandth.
+	// objectiveFraction is the fraction of the objective that the predicted mean time to the first event of a large prompt may
+	// take. The rest allows for what the figures leave out, 10 to 20 ms by the logs of a fleet of 71 nodes, and for passes that
+	// happen to read several prompts. With groups allocated by this rule 79% of long prompts were answered within 300 ms, and
+	// 71% with groups allocated by the number of places.
+	objectiveFraction = 2.0 / 3
+	// minReadingFraction is the fraction of its time for which a group may read prompts even if large prompts are then late. They
+	// would be late at an idle group too, so more groups would not help them, and other prompts are in time.
+	minReadingFraction = 0.3
+	// searchSteps is the number of bisection steps, enough to find a rate to within a thousandth.
 	searchSteps = 10
 )
 
-// Model predicts one replica group of a model.
+// Model predicts the performance of one replica group that runs a model.
 type Model struct {
 	Figures Figures
-	Pace    float64 // factor on all times; 0 counts as 1
-	Writers float64 // requests that it writes at the same time
+	Pace    float64 // factor on all times; 0 means 1
+	Writers float64 // requests that the group writes at the same time
 }
 
 func (m *Model) pace() float64 {
@@ -32,8 +32,8 @@
 	return m.Pace
 }
 
-// FirstEvent returns the mean time until the first event of a prompt of that many tokens, at a group that gets that mix;
-// it has no bound where the group cannot read prompts as fast as they come.
+// FirstEvent returns the mean time to the first event of a prompt of the given length in tokens, at a group that gets the given
+// mix. It returns the maximum duration if the group cannot read prompts as fast as they arrive.
 func (m *Model) FirstEvent(tokens float64, mix Mix) time.Duration {
 	seconds := m.firstEvent(tokens, mix)
 	if math.IsInf(seconds, 1) {
@@ -43,20 +43,22 @@
 }
 
 func (m *Model) firstEvent(tokens float64, mix Mix) float64 {
-	busy := m.Reading(mix)
-	if busy >= 1 {
+	reading := m.Reading(mix)
+	if reading >= 1 {
 		return math.Inf(1)
 	}
 	write := m.pace() * m.Figures.Write(m.Writers, mix.mean())
-	pass := write / (1 - busy)
-	// The pass under way: half of the mean one, and more because one meets a long pass more often than a short one.
+	pass := write / (1 - reading)
+	// The remaining time of the pass under way: half of the mean pass, and more because a request is more likely to arrive during
+	// a long pass than during a short one.
 	perToken := m.pace() / m.Figures.ReadPerSecond
-	rest := pass/2 + mix.Squares*perToken*perToken/2
-	own := write + m.pace()*m.Figures.Read(tokens) + busy*pass
-	return rest + own
+	remaining := pass/2 + mix.Squares*perToken*perToken/2
+	own := write + m.pace()*m.Figures.Read(tokens) + reading*pass
+	return remaining + own
 }
 
-// Reading returns the part of its time that a group which gets that mix reads prompts.
+// Reading returns the fraction of its time that a group spends on reading prompts when it gets the given mix. A value above 1
+// means that it cannot keep up.
 func (m *Model) Reading(mix Mix) float64 {
 	if mix.Tokens <= 0 {
 		return 0
@@ -64,36 +66,36 @@
 	return m.pace() * m.Figures.readAll(mix.Tokens, mix.Squares)
 }
 
-// Bears returns how many requests a second of that mix one group can take within the objective: the rate at which the
-// first event of a large prompt is predicted to take two thirds of it, and no less than one at which the group reads for
-// three tenths of its time. It reports false where nothing can be predicted.
+// Bears returns how many requests per second of the given mix one group can take within the objective: the rate at which the
+// first event of a large prompt is predicted to take two thirds of the objective, but at least the rate at which the group
+// reads prompts for three tenths of its time. predicted is false if nothing can be predicted.
 func (m *Model) Bears(mix Mix) (perSecond float64, predicted bool) {
 	if !m.Figures.Known() || mix.PerSecond <= 0 || mix.Tokens <= 0 || mix.Objective <= 0 {
 		return 0, false
 	}
-	most := mix.PerSecond / m.Reading(mix) // it reads all the time
-	allowed := objectivePart * mix.Objective.Seconds()
-	low, high := leastBusy, 1.0
+	saturation := mix.PerSecond / m.Reading(mix) // the rate at which the group reads all the time
+	allowed := objectiveFraction * mix.Objective.Seconds()
+	low, high := minReadingFraction, 1.0
 	for range searchSteps {
-		part := (low + high) / 2
-		if m.firstEvent(mix.large(), mix.scaled(part*most)) <= allowed {
-			low = part
+		fraction := (low + high) / 2
+		if m.firstEvent(mix.large(), mix.scaled(fraction*saturation)) <= allowed {
+			low = fraction
 		} else {
-			high = part
+			high = fraction
 		}
 	}
-	return low * most, true
+	return low * saturation, true
 }
 
-// Marginal returns how much later the first event of a mean prompt comes at a group that gets that mix for each request
-// that it runs more than now, of which there are that many: more requests at a time are more prompts to read.
+// Marginal returns by how much one more running request delays the first event of a mean prompt at a group that gets the given
+// mix and runs the given number of requests. The arrival rate is taken to grow in proportion to the running requests.
 func (m *Model) Marginal(mix Mix, running float64) time.Duration {
 	if !m.Figures.Known() || mix.PerSecond <= 0 || running <= 0 {
 		return 0
 	}
-	more := mix.scaled(mix.PerSecond * (1 + 1/running))
-	if m.Reading(more) >= 1 {
+	increased := mix.scaled(mix.PerSecond * (1 + 1/running))
+	if m.Reading(increased) >= 1 {
 		return math.MaxInt64
 	}
-	return time.Duration((m.firstEvent(mix.mean(), more) - m.firstEvent(mix.mean(), mix)) * float64(time.Second))
+	return time.Duration((m.firstEvent(mix.mean(), increased) - m.firstEvent(mix.mean(), mix)) * float64(time.Second))
 }
