--- a/internal/route/engine.go
+++ b/internal/route/engine.go
@@ -10,10 +10,10 @@
 type Engine struct {
 	Slots          int // requests that a replica group runs at once
 	Models         []Model
-	LoadsPerSecond float64 // loads of weights that may begin a second, over all endpoints
-	LoadsAtOnce    int     // loads beyond these slow each other
-	Open           time.Duration
-	Figures        engine.Figures // how fast they read and write
+	LoadsPerSecond float64        // loads of weights that may begin per second, over all endpoints
+	LoadsAtOnce    int            // number of concurrent loads above which they slow each other down
+	Open           time.Duration  // time in which a replica group is formed and opened
+	Figures        engine.Figures // published performance of the engines
 }
 
 // Model returns the model of that name.
--- a/internal/route/limits.go
+++ b/internal/route/limits.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Limits bound what a caller may send and how long it may rest. Zero values bound nothing.
+// Limits bounds the size of callers' requests, the time to send their headers and the idle time of their connections. A zero value
+// means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
--- a/internal/route/model.go
+++ b/internal/route/model.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Model is one model of an engine.
+// Model is a model that the engines of a service can run.
 type Model struct {
 	Name  string
-	Size  int           // endpoints of a replica group
-	Pace  float64       // factor on all its times
-	Share float64       // part of the work at the start
-	Load  time.Duration // from the weight store
-	Warm  time.Duration // from the host's memory
+	Size  int           // endpoints per replica group
+	Pace  float64       // factor on the times in Engine.Figures
+	Share float64       // fraction of the replica groups until the first requests arrive
+	Load  time.Duration // time to load the weights from the weight store
+	Warm  time.Duration // time to load the weights from the host's memory
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds what callers may ask for and which service answers it: one accepted version of the
-// routes, services and workspaces. Tables are never changed after they were made.
+// Package route holds one accepted version of the configured routes, services and workspaces: which requests callers may make
+// and which service answers them. A Table is immutable once it is in use.
 package route
 
 import (
@@ -11,34 +11,34 @@
 type Kind uint8
 
 const (
-	// Once is a request that may run at most once.
+	// Once is the kind of a request that may run at most once.
 	Once Kind = iota + 1
-	// Repeatable is a request that may run more than once.
+	// Repeatable is the kind of a request that may run more than once.
 	Repeatable
-	// Streaming is a request answered by a series of events.
+	// Streaming is the kind of a request that is answered by a stream of events.
 	Streaming
 )
 
-// Target is a service that takes a part of a route's requests.
+// Target is a service that receives a share of a route's requests in proportion to Weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says what is to be done with the requests below one path of one host.
+// Route describes how requests to one host below one path prefix are served.
 type Route struct {
 	Name         string
 	Host         string
 	Prefix       string // begins and ends with a slash
 	Kind         Kind
-	Timeout      time.Duration // longest time a request is held
-	Objective    time.Duration // answers, or first events, should come within it
-	GapObjective time.Duration // longest pause between two events of an answer in time
+	Timeout      time.Duration // longest time that a request may take
+	Objective    time.Duration // target for the time to the answer, or to the first event of a stream
+	GapObjective time.Duration // target for the longest gap between two events of a stream
 	Priority     int           // 0 is the most urgent
 	Targets      []Target
-	MaxAttempts  int  // endpoints that one request may run at
-	Public       bool // needs no credential
-	Resumable    bool // a stream may go on at another endpoint
+	MaxAttempts  int  // most attempts of one request that may have run
+	Public       bool // requests need no credential
+	Resumable    bool // a stream may continue at another endpoint
 }
 
 // MayRepeat reports whether a request on the route may run more than once.
@@ -46,7 +46,7 @@
 	return r.Kind == Repeatable || r.Kind == Streaming && r.Resumable
 }
 
-// Pick returns the service of one request, drawn by weight.
+// Pick returns the service for one request, drawn at random by weight, or "" if no target has a weight.
 func (r *Route) Pick() string {
 	total := 0
 	for _, t := range r.Targets {
@@ -55,9 +55,9 @@
 	if total <= 0 {
 		return ""
 	}
-	draw := rand.IntN(total) //nolint:gosec // spreads load, keeps no secret
+	remaining := rand.IntN(total) //nolint:gosec // load balancing, not security
 	for _, t := range r.Targets {
-		if draw -= t.Weight; draw < 0 {
+		if remaining -= t.Weight; remaining < 0 {
 			return t.Service
 		}
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -8,8 +8,8 @@
 
 // Table is one accepted version of the routes, services and workspaces.
 type Table struct {
-	Revision int64 // of the object that holds it; grows with every accepted version
-	Version  int64 // the operators' own number
+	Revision int64 // revision of the stored object; increases with every accepted version
+	Version  int64 // version number assigned by the operators
 	Limits   Limits
 
 	hosts       map[string][]*Route // longest prefix first
@@ -18,7 +18,7 @@
 	workspaces  int
 }
 
-// NewTable returns a table of these routes and services, without workspaces.
+// NewTable returns a table of the given routes and services, without workspaces.
 func NewTable(revision, version int64, routes []*Route, services []*Service) *Table {
 	t := &Table{
 		Revision: revision, Version: version,
@@ -36,7 +36,7 @@
 	return t
 }
 
-// AddWorkspace adds a workspace with its credentials; call it before the table is used.
+// AddWorkspace adds a workspace with its credentials. It must not be called once the table is in use.
 func (t *Table) AddWorkspace(w *Workspace, credentials []string) {
 	t.workspaces++
 	for _, c := range credentials {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Match returns the route of the longest prefix that begins path on host, or nil.
+// Match returns the route on host with the longest prefix that matches path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Engines returns the services whose endpoints serve in replica groups, in order of name.
+// Engines returns the services whose endpoints serve in replica groups, ordered by name.
 func (t *Table) Engines() []*Service {
 	var out []*Service
 	for _, s := range t.services {
@@ -69,13 +69,13 @@
 	return out
 }
 
-// NeedsCredential reports whether requests on r need one.
+// NeedsCredential reports whether requests on r need a credential. None do if there are no workspaces.
 func (t *Table) NeedsCredential(r *Route) bool { return t.workspaces > 0 && !r.Public }
 
 // Workspace returns the workspace that holds the credential, or nil.
 func (t *Table) Workspace(credential string) *Workspace { return t.credentials[credential] }
 
-// Size returns the number of routes, for logs.
+// Size returns the number of routes.
 func (t *Table) Size() int {
 	n := 0
 	for _, list := range t.hosts {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -16,7 +16,7 @@
 	}, []*route.Service{{Name: "plain"}, {Name: "lm", Engine: &route.Engine{Models: []route.Model{{Name: "m", Size: 4}}}}})
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchReturnsTheLongestPrefixOfTheHost(t *testing.T) {
 	table := newTable()
 	qt.Check(t, table.Match("a.example", "/x/y/z").Name, qt.Equals, "long")
 	qt.Check(t, table.Match("a.example", "/x/z").Name, qt.Equals, "short")
@@ -28,7 +28,7 @@
 func TestCredentialsBelongToWorkspaces(t *testing.T) {
 	table := newTable()
 	public, private := table.Match("a.example", "/x/y/"), table.Match("a.example", "/x/")
-	qt.Check(t, table.NeedsCredential(private), qt.IsFalse, qt.Commentf("without workspaces nobody needs one"))
+	qt.Check(t, table.NeedsCredential(private), qt.IsFalse, qt.Commentf("without workspaces no credential is needed"))
 	table.AddWorkspace(&route.Workspace{Name: "w"}, []string{"k1", "k2"})
 	qt.Check(t, table.NeedsCredential(private), qt.IsTrue)
 	qt.Check(t, table.NeedsCredential(public), qt.IsFalse)
@@ -36,7 +36,7 @@
 	qt.Check(t, table.Workspace(""), qt.IsNil)
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickDrawsByWeight(t *testing.T) {
 	r := &route.Route{Targets: []route.Target{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}, {Service: "never"}}}
 	count := map[string]int{}
 	for range 4000 {
@@ -47,7 +47,7 @@
 	qt.Check(t, (&route.Route{}).Pick(), qt.Equals, "")
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestMayRepeat(t *testing.T) {
 	qt.Check(t, (&route.Route{Kind: route.Once}).MayRepeat(), qt.IsFalse)
 	qt.Check(t, (&route.Route{Kind: route.Repeatable}).MayRepeat(), qt.IsTrue)
 	qt.Check(t, (&route.Route{Kind: route.Streaming}).MayRepeat(), qt.IsFalse)
