--- a/internal/endpoint/directory.go
+++ b/internal/endpoint/directory.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// goneFor is how long an endpoint that is no longer listed is remembered.
-	goneFor = 30 * time.Second
-	// leavingFor is how long it is remembered that an endpoint has said it leaves; it is gone long before.
-	leavingFor = 10 * time.Minute
+	// goneRetention is how long an endpoint that is no longer listed is kept in Snapshot.Gone.
+	goneRetention = 30 * time.Second
+	// leavingRetention is how long an endpoint's announcement that it leaves is kept. The endpoint ends long before that.
+	leavingRetention = 10 * time.Minute
 )
 
 // Directory is this node's copy of the platform's list of endpoints.
 type Directory struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Snapshot]
-	leaving map[string]time.Time // lives that have said so themselves, and when
+	leaving map[string]time.Time // when an instance announced that it leaves, by instance ID
 }
 
-// NewDirectory returns an empty Directory of endpoints that write their entries that often.
+// NewDirectory returns an empty Directory. beat is the interval at which endpoints rewrite their entries.
 func NewDirectory(beat time.Duration) *Directory {
 	d := &Directory{leaving: make(map[string]time.Time)}
 	d.current.Store(&Snapshot{
@@ -31,11 +31,11 @@
 	return d
 }
 
-// Read returns the present state.
+// Read returns the current snapshot.
 func (d *Directory) Read() *Snapshot { return d.current.Load() }
 
-// Apply takes in changed endpoints, and removed ones by the ids by which they were listed, noticed at now. An endpoint that
-// has started again takes the place of its earlier life.
+// Apply adds or replaces the changed endpoints and removes those with the given listed IDs; now is the time of the change. A
+// restarted endpoint replaces its earlier instance.
 func (d *Directory) Apply(changed []*Endpoint, removed []string, now time.Time) {
 	if len(changed) == 0 && len(removed) == 0 {
 		return
@@ -45,7 +45,7 @@
 	d.apply(changed, removed, now)
 }
 
-// apply is Apply with the lock held.
+// apply implements Apply. The caller holds d.mu.
 func (d *Directory) apply(changed []*Endpoint, removed []string, now time.Time) {
 	old := d.current.Load()
 	next := &Snapshot{
@@ -55,33 +55,33 @@
 		Evacuated: old.Evacuated, Returned: old.Returned, RoutingOnly: old.RoutingOnly, beat: old.beat,
 	}
 	for id, g := range old.Gone {
-		if now.Sub(g.At) < goneFor {
+		if now.Sub(g.At) < goneRetention {
 			next.Gone[id] = g
 		}
 	}
-	lives := make(map[string]*Endpoint, len(old.Endpoints)) // by listed id
+	byListedID := make(map[string]*Endpoint, len(old.Endpoints)) // by listed ID
 	for id, e := range old.Endpoints {
 		next.Endpoints[id] = e
-		lives[Listed(id)] = e
+		byListedID[Listed(id)] = e
 	}
 	for _, e := range changed {
-		if before := lives[Listed(e.ID)]; before != nil && before.ID != e.ID {
+		if before := byListedID[Listed(e.ID)]; before != nil && before.ID != e.ID {
 			next.Gone[before.ID] = Gone{Endpoint: before, At: now, Over: true}
 			delete(next.Endpoints, before.ID)
 		}
-		lives[Listed(e.ID)] = e
-		if _, told := d.leaving[e.ID]; told {
+		byListedID[Listed(e.ID)] = e
+		if _, leaving := d.leaving[e.ID]; leaving {
 			e.Draining = true
 		}
-		e.recall(old)
+		e.keepModels(old)
 		if e.ColdLeft > 0 {
-			e.Cold = now.Add(e.ColdLeft)
+			e.ColdUntil = now.Add(e.ColdLeft)
 		}
 		next.Endpoints[e.ID] = e
 		delete(next.Gone, e.ID)
 	}
 	for _, listed := range removed {
-		if e := lives[listed]; e != nil {
+		if e := byListedID[listed]; e != nil {
 			next.Gone[e.ID] = Gone{Endpoint: e, At: now}
 			delete(next.Endpoints, e.ID)
 		}
@@ -93,26 +93,27 @@
 	d.current.Store(next)
 }
 
-// MarkLeaving notes that a life of an endpoint has said in an answer that it leaves. Its entry may tell so later, or not at all.
-func (d *Directory) MarkLeaving(life string, now time.Time) {
+// MarkLeaving records that the instance has announced in an answer that it leaves, and marks it as draining. Its entry may say
+// so later or not at all.
+func (d *Directory) MarkLeaving(instance string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, at := range d.leaving {
-		if now.Sub(at) > leavingFor {
+		if now.Sub(at) > leavingRetention {
 			delete(d.leaving, id)
 		}
 	}
-	if _, told := d.leaving[life]; told {
+	if _, known := d.leaving[instance]; known {
 		return
 	}
-	d.leaving[life] = now
-	if e := d.current.Load().Endpoints[life]; e != nil && !e.Draining {
+	d.leaving[instance] = now
+	if e := d.current.Load().Endpoints[instance]; e != nil && !e.Draining {
 		draining := *e
 		d.apply([]*Endpoint{&draining}, nil, now)
 	}
 }
 
-// SetRoutingOnly says whether only those endpoints are listed that take requests.
+// SetRoutingOnly sets Snapshot.RoutingOnly.
 func (d *Directory) SetRoutingOnly(only bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,7 +125,8 @@
 	d.current.Store(&next)
 }
 
-// Evacuate says which data centres are out of use from now on.
+// Evacuate sets the data centres that are out of use from now on. Those that were out of use before and are not among them count
+// as returned at now.
 func (d *Directory) Evacuate(dataCentres map[string]bool, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/endpoint/directory_test.go
+++ b/internal/endpoint/directory_test.go
@@ -17,16 +17,16 @@
 	}
 }
 
-func TestGroupIsReadyWithAllItsMembersOnly(t *testing.T) {
+func TestGroupIsReadyOnlyWithAllItsMembers(t *testing.T) {
 	d := endpoint.NewDirectory(time.Second)
 	d.Apply([]*endpoint.Endpoint{member("a", "g", 1, 0, endpoint.Open), member("b", "g", 1, 1, endpoint.Joining)}, nil, origin)
 	g := d.Read().Groups["g"]
 	qt.Check(t, g.Head.ID, qt.Equals, "a")
 	qt.Check(t, g.Model, qt.Equals, "m")
-	qt.Check(t, g.Ready(2), qt.IsFalse, qt.Commentf("one is still joining"))
+	qt.Check(t, g.Ready(2), qt.IsFalse, qt.Commentf("one member is still joining"))
 	d.Apply([]*endpoint.Endpoint{member("b", "g", 1, 1, endpoint.Ready)}, nil, origin)
 	qt.Check(t, d.Read().Groups["g"].Ready(2), qt.IsTrue)
-	qt.Check(t, d.Read().Groups["g"].Ready(3), qt.IsFalse, qt.Commentf("one is missing"))
+	qt.Check(t, d.Read().Groups["g"].Ready(3), qt.IsFalse, qt.Commentf("one member is missing"))
 	qt.Check(t, g.Ready(2), qt.IsFalse, qt.Commentf("a snapshot does not change"))
 }
 
@@ -37,7 +37,7 @@
 	qt.Check(t, d.Read().Groups["g"].Epoch, qt.Equals, int64(2))
 }
 
-func TestRemovedEndpointsAreRememberedForAWhile(t *testing.T) {
+func TestRemovedEndpointsAreKeptInGoneForALimitedTime(t *testing.T) {
 	d := endpoint.NewDirectory(time.Second)
 	d.Apply([]*endpoint.Endpoint{member("a", "g", 1, 0, endpoint.Open)}, nil, origin)
 	d.Apply(nil, []string{"a", "unknown"}, origin.Add(time.Second))
@@ -46,10 +46,10 @@
 	qt.Check(t, s.Gone["a"].Endpoint.Membership.Group, qt.Equals, "g")
 	qt.Check(t, s.Gone, qt.HasLen, 1)
 	d.Apply([]*endpoint.Endpoint{member("a", "g", 1, 0, endpoint.Open)}, nil, origin.Add(2*time.Second))
-	qt.Check(t, d.Read().Gone, qt.HasLen, 0, qt.Commentf("it is listed again"))
+	qt.Check(t, d.Read().Gone, qt.HasLen, 0, qt.Commentf("the endpoint is listed again"))
 	d.Apply(nil, []string{"a"}, origin.Add(3*time.Second))
 	d.Apply([]*endpoint.Endpoint{member("b", "h", 1, 0, endpoint.Open)}, nil, origin.Add(time.Minute))
-	qt.Check(t, d.Read().Gone, qt.HasLen, 0, qt.Commentf("forgotten"))
+	qt.Check(t, d.Read().Gone, qt.HasLen, 0, qt.Commentf("kept for a limited time only"))
 }
 
 func TestModelOfTheLastGroupIsKept(t *testing.T) {
@@ -60,15 +60,15 @@
 	d.Apply([]*endpoint.Endpoint{member("a", "g", 1, 0, endpoint.Open)}, nil, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
-	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsTrue, qt.Commentf("it has left its group"))
+	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsTrue, qt.Commentf("the model is kept after the endpoint has left its group"))
 	d.Apply(nil, []string{"a"}, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
-	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsTrue, qt.Commentf("it was not listed for a while"))
+	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsTrue, qt.Commentf("the model is kept while the endpoint is not listed"))
 	joins := member("a", "h", 2, 0, endpoint.Joining)
 	joins.Models = nil
 	d.Apply([]*endpoint.Endpoint{joins}, nil, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
-	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsFalse, qt.Commentf("it may have begun to join another model's group"))
+	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsFalse, qt.Commentf("the endpoint may have begun to load the model of another group"))
 }
 
 func TestDrainingMemberMarksItsGroup(t *testing.T) {
@@ -87,7 +87,7 @@
 	d.Apply([]*endpoint.Endpoint{second}, nil, time.Now())
 	s := d.Read()
 	qt.Check(t, s.Endpoints, qt.HasLen, 2)
-	qt.Check(t, s.Endpoints[second.ID].Models, qt.HasLen, 0, qt.Commentf("it knows nothing of before"))
+	qt.Check(t, s.Endpoints[second.ID].Models, qt.HasLen, 0, qt.Commentf("the new instance has none of the earlier instance's models"))
 	qt.Check(t, s.Groups, qt.HasLen, 0)
 	qt.Check(t, s.Gone[first.ID].Over, qt.IsTrue)
 	d.Apply(nil, []string{"i-1", "i-2", "i-3"}, time.Now())
@@ -98,22 +98,22 @@
 	qt.Check(t, endpoint.Life("i-1", 0), qt.Equals, "i-1")
 }
 
-func TestEndpointThatSaysItLeavesDrainsWhateverItsEntryTells(t *testing.T) {
+func TestEndpointThatAnnouncedItLeavesIsDrainingWhateverItsEntrySays(t *testing.T) {
 	d := endpoint.NewDirectory(time.Second)
-	life := endpoint.Life("i-1", 100)
-	listed := func() *endpoint.Endpoint { return &endpoint.Endpoint{ID: life, Service: "s"} }
+	instance := endpoint.Life("i-1", 100)
+	listed := func() *endpoint.Endpoint { return &endpoint.Endpoint{ID: instance, Service: "s"} }
 	d.Apply([]*endpoint.Endpoint{listed()}, nil, origin)
 	before := d.Read()
-	d.MarkLeaving(life, origin)
+	d.MarkLeaving(instance, origin)
 	d.MarkLeaving("i-unknown", origin)
-	qt.Check(t, d.Read().Endpoints[life].Draining, qt.IsTrue)
-	qt.Check(t, before.Endpoints[life].Draining, qt.IsFalse, qt.Commentf("a snapshot does not change"))
+	qt.Check(t, d.Read().Endpoints[instance].Draining, qt.IsTrue)
+	qt.Check(t, before.Endpoints[instance].Draining, qt.IsFalse, qt.Commentf("a snapshot does not change"))
 	d.Apply([]*endpoint.Endpoint{listed()}, nil, origin.Add(time.Second))
-	qt.Check(t, d.Read().Endpoints[life].Draining, qt.IsTrue, qt.Commentf("its entry was written before"))
+	qt.Check(t, d.Read().Endpoints[instance].Draining, qt.IsTrue, qt.Commentf("the entry was written before the announcement"))
 	d.Apply(nil, []string{"i-1"}, origin.Add(2*time.Second))
 	d.Apply([]*endpoint.Endpoint{listed()}, nil, origin.Add(3*time.Second))
-	qt.Check(t, d.Read().Endpoints[life].Draining, qt.IsTrue, qt.Commentf("it was not listed for a while"))
+	qt.Check(t, d.Read().Endpoints[instance].Draining, qt.IsTrue, qt.Commentf("the endpoint was not listed in between"))
 	next := endpoint.Life("i-1", 200)
 	d.Apply([]*endpoint.Endpoint{{ID: next, Service: "s"}}, nil, origin.Add(4*time.Second))
-	qt.Check(t, d.Read().Endpoints[next].Draining, qt.IsFalse, qt.Commentf("another life"))
+	qt.Check(t, d.Read().Endpoints[next].Draining, qt.IsFalse, qt.Commentf("the announcement does not apply to the next instance"))
 }
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpoint knows the endpoints that the platform lists, and the replica groups they say they are in.
+// Package endpoint holds a node's copy of the platform's list of endpoints and the replica groups that they report to be in.
 package endpoint
 
 import (
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// State is what an endpoint says of its part in a replica group.
+// State is the state in a replica group that an endpoint reports.
 type State string
 
 const (
-	// Joining is a member that prepares itself.
+	// Joining is the state of a member that is still preparing to serve.
 	Joining State = "joining"
-	// Ready is a member that may serve once its group opens.
+	// Ready is the state of a member that may serve once its group opens.
 	Ready State = "ready"
-	// Open is a head that takes requests.
+	// Open is the state of a head that takes requests.
 	Open State = "open"
-	// Closing is a head that finishes its requests.
+	// Closing is the state of a head that takes no new requests and finishes the running ones.
 	Closing State = "closing"
-	// Broken is a head that has lost a member.
+	// Broken is the state of a head that has lost a member.
 	Broken State = "broken"
 )
 
-// Membership is an endpoint's place in a replica group.
+// Membership is an endpoint's membership of a replica group, as the endpoint reports it.
 type Membership struct {
 	Group string
 	Epoch int64
@@ -31,54 +31,54 @@
 	State State
 }
 
-// Endpoint is one life of one endpoint as it was last listed.
+// Endpoint is one instance of an endpoint as it was last listed.
 type Endpoint struct {
-	ID       string // of this life, see Life
-	Service  string
-	Address  string
-	Zone     string
-	Domain   string // of the fabric
-	Slots    int
-	Draining bool
-	ColdLeft time.Duration // for how much longer it is cold, as it was listed
-	Cold     time.Time     // until then it is, as far as that tells; zero if it is not
-	// Models it holds ready. An endpoint that has left its group lists none, but is ready for the model of that group
-	// again without a load, so that model stays here.
+	ID        string // instance ID, see Life
+	Service   string
+	Address   string
+	Zone      string // data centre
+	Domain    string // fabric domain
+	Slots     int    // requests that it runs at once; zero if unknown
+	Draining  bool
+	ColdLeft  time.Duration // remaining cold time when it was listed
+	ColdUntil time.Time     // end of the cold time; zero if it is not cold
+	// Models are the models that it is ready to run. An endpoint that has left its group lists none but can run the group's
+	// model again without loading it, so that model is kept here.
 	Models     []string
-	Staged     []string // on its host
-	Membership *Membership
-	Revision   int64 // of the platform's entry
+	Staged     []string    // models staged on its host
+	Membership *Membership // nil if it is in no group
+	Revision   int64       // revision of the platform's entry
 }
 
-// lifeMark stands between the id under which an endpoint is listed and its start in the id of one of its lives.
-const lifeMark = "@"
+// instanceSeparator separates the listed ID of an endpoint from the start time in an instance ID.
+const instanceSeparator = "@"
 
-// Life returns the id of one life of an endpoint, which may start again under the id that it is listed by and then knows
-// nothing of before. born tells the start, in Unix milliseconds by the endpoint's own clock; if it is zero, the endpoint
-// does not say, and the listed id stands for its only life.
+// Life returns the ID of one instance of an endpoint. An endpoint may restart under the same listed ID, and then has no
+// state of its earlier instance. born is the start of the instance in Unix milliseconds by the endpoint's own clock; if it is
+// zero, the endpoint does not report its start and the listed ID is the instance ID.
 func Life(listed string, born int64) string {
 	if born == 0 {
 		return listed
 	}
-	return listed + lifeMark + strconv.FormatInt(born, 10)
+	return listed + instanceSeparator + strconv.FormatInt(born, 10)
 }
 
-// Listed returns the id by which the endpoint of that life is listed and asked for.
-func Listed(life string) string {
-	listed, _, _ := strings.Cut(life, lifeMark)
+// Listed returns the ID under which the platform lists the endpoint with the given instance ID.
+func Listed(instance string) string {
+	listed, _, _ := strings.Cut(instance, instanceSeparator)
 	return listed
 }
 
-// Holds reports whether the endpoint runs that model.
+// Holds reports whether the endpoint is ready to run the model.
 func (e *Endpoint) Holds(model string) bool { return contains(e.Models, model) }
 
-// Heads reports whether the endpoint says that it heads an open replica group.
+// Heads reports whether the endpoint reports to be the head of an open replica group.
 func (e *Endpoint) Heads() bool {
 	m := e.Membership
 	return m != nil && m.Rank == 0 && m.State == Open
 }
 
-// HasStaged reports whether the endpoint's host holds that model.
+// HasStaged reports whether the model is staged on the endpoint's host.
 func (e *Endpoint) HasStaged(model string) bool { return contains(e.Staged, model) }
 
 func contains(list []string, wanted string) bool {
@@ -90,8 +90,8 @@
 	return false
 }
 
-// recall takes over the model of the last group from what was known of an endpoint that has left it.
-func (e *Endpoint) recall(known *Snapshot) {
+// keepModels copies the models last known of an endpoint that has left its group and therefore lists none.
+func (e *Endpoint) keepModels(known *Snapshot) {
 	if e.Membership != nil || len(e.Models) > 0 {
 		return
 	}
--- a/internal/endpoint/group.go
+++ b/internal/endpoint/group.go
@@ -1,17 +1,17 @@
 package endpoint
 
-// Group is a replica group as its members describe it.
+// Group is a replica group as reported by its members.
 type Group struct {
 	Name    string
 	Epoch   int64
 	Service string
 	Model   string
 	Domain  string
-	Head    *Endpoint            // nil if the head is not listed in the group
+	Head    *Endpoint            // member of rank 0; nil if it is not listed
 	Members map[string]*Endpoint // by ID
 }
 
-// Ready reports whether size members are in the group and every one has been ready in it.
+// Ready reports whether the group has its head and size members, none of which is still joining.
 func (g *Group) Ready(size int) bool {
 	if g.Head == nil || len(g.Members) != size {
 		return false
@@ -24,7 +24,7 @@
 	return true
 }
 
-// Draining reports whether a member is about to leave.
+// Draining reports whether any member is draining.
 func (g *Group) Draining() bool {
 	for _, m := range g.Members {
 		if m.Draining {
@@ -34,7 +34,8 @@
 	return false
 }
 
-// groupsOf puts the listed members together by group and epoch.
+// groupsOf returns the replica groups that the endpoints report to be in. Of each group only the members of its latest epoch
+// count.
 func groupsOf(endpoints map[string]*Endpoint) map[string]*Group {
 	out := make(map[string]*Group)
 	for _, e := range endpoints {
--- a/internal/endpoint/snapshot.go
+++ b/internal/endpoint/snapshot.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Snapshot is the state of a Directory at one moment. It is never changed.
+// Snapshot is the immutable state of a Directory at one moment.
 type Snapshot struct {
-	Endpoints map[string]*Endpoint
-	Services  map[string][]*Endpoint
-	Groups    map[string]*Group
-	// Gone are endpoints that are no longer listed, with the instant at which this was noticed.
+	Endpoints map[string]*Endpoint   // by instance ID
+	Services  map[string][]*Endpoint // by service name
+	Groups    map[string]*Group      // by group name
+	// Gone holds, by instance ID, the endpoints that were removed from the list recently.
 	Gone map[string]Gone
-	// Evacuated are the data centres to whose endpoints nothing more is sent.
+	// Evacuated holds the data centres that are out of use. No requests are sent to their endpoints.
 	Evacuated map[string]bool
-	// Returned says when data centres were last taken back into use.
+	// Returned holds, by data centre, when it was last taken back into use.
 	Returned map[string]time.Time
-	// RoutingOnly says that of replica groups only the heads of open ones are listed. They were opened by a leader that has
-	// seen all their members ready.
+	// RoutingOnly means that of each replica group only the head is listed, and only while the group is open. The leader that
+	// opened the group has seen all its members ready.
 	RoutingOnly bool
 
-	beat time.Duration // within which an endpoint that has become cold writes so
+	beat time.Duration // interval at which endpoints write their entries; one that becomes cold writes so within it
 }
 
-// Gone is an endpoint that is no longer listed. It may be dead, leaving, or cut off from the platform.
+// Gone is an endpoint that is no longer listed. It may have ended, be leaving, or be cut off from the platform.
 type Gone struct {
 	Endpoint *Endpoint
-	At       time.Time
-	Over     bool // it has started again since, so this life has certainly ended
+	At       time.Time // when the removal was noticed
+	Over     bool      // the endpoint has restarted since, so this instance has certainly ended
 }
 
-// copyAge is how old a node's copy of what an endpoint has written may be.
-const copyAge = 300 * time.Millisecond
+// maxCopyAge is the greatest age of a node's copy of an endpoint's entry.
+const maxCopyAge = 300 * time.Millisecond
 
-// Cold reports whether the endpoint bears few requests now. Those of a data centre that was taken back may have become cold
-// just before, for as long as after a start.
+// Cold reports whether the endpoint may be cold now. An endpoint of a data centre that was taken back into use may have become
+// cold just before, for as long as after a start, without its entry saying so yet.
 func (s *Snapshot) Cold(e *Endpoint, coldFor time.Duration, now time.Time) bool {
-	if now.Before(e.Cold) {
+	if now.Before(e.ColdUntil) {
 		return true
 	}
 	back, known := s.Returned[e.Zone]
-	return known && now.Sub(back) < coldFor+s.beat+copyAge
+	return known && now.Sub(back) < coldFor+s.beat+maxCopyAge
 }
