--- a/internal/server/changes.go
+++ b/internal/server/changes.go
@@ -16,19 +16,19 @@
 	"moorrun.dev/moorrun/internal/keys"
 )
 
-// takeChanges puts what the follower brings into force until ctx ends.
-func (n *Server) takeChanges(ctx context.Context) error {
+// applyChanges applies the objects that the follower has copied from the store, until ctx ends.
+func (n *Server) applyChanges(ctx context.Context) error {
 	var sequence uint64
 	for ctx.Err() == nil {
 		changed := n.follower.Mirror.Changed()
-		full := n.follower.Full() // what is listed after that makes up for it
+		full := n.follower.Full() // read before Since, which then covers at least the copy that it describes
 		var objects []infra.Object
 		objects, sequence = n.follower.Mirror.Since(sequence)
 		if len(objects) > 0 {
 			n.apply(objects, clock.Now())
 		}
 		n.directory.SetRoutingOnly(!full)
-		n.applied.Store(sequence)
+		n.appliedSequence.Store(sequence)
 		if len(objects) > 0 {
 			continue
 		}
@@ -58,32 +58,33 @@
 				break
 			}
 			changed = append(changed, e)
-			routing = n.routable(e)
+			routing = n.neededForRouting(e)
 		case strings.HasPrefix(o.Key, keys.Evacuations):
 			evacuations = true
 		case strings.HasPrefix(o.Key, keys.Accepted) && !o.Deleted:
-			n.accept(o)
+			n.applyConfiguration(o)
 		}
 		n.follower.Mirror.Mark(o, routing)
 	}
 	if evacuations {
-		n.evacuate()
+		n.applyEvacuations()
 	}
 	if len(changed)+len(removed) > 0 {
 		n.directory.Apply(changed, removed, now)
 		n.controller.Wake()
 		n.picker.Review()
 	}
-	// Those who pull from this node are to know at once that there is something new. Others would only be told what
-	// they have from the same source.
+	// Nodes that pull from this one learn at once that there are changes. If this node does not watch the store itself, the
+	// others get the changes from the same source as it does.
 	if _, watching := n.follower.Whole(); watching {
 		n.gossip.Kick()
 	}
 }
 
-// routable reports whether nodes that only route need the endpoint: all but those of engines that head no open group. Where
-// the configuration does not say yet that a service has engines, its endpoints may serve alone.
-func (n *Server) routable(e *endpoint.Endpoint) bool {
+// neededForRouting reports whether nodes that only route requests need the endpoint. They need all but the engines that are
+// not the head of an open group. While the configuration does not say that a service has engines, its endpoints are assumed
+// to serve alone.
+func (n *Server) neededForRouting(e *endpoint.Endpoint) bool {
 	if t := n.table.Load(); t != nil {
 		if s := t.Service(e.Service); s != nil && s.Engine != nil {
 			return e.Heads()
@@ -92,8 +93,8 @@
 	return true
 }
 
-// evacuate takes the data centres out of use that operators have named, and takes the others back.
-func (n *Server) evacuate() {
+// applyEvacuations takes the data centres that operators have evacuated out of use, and puts all others back into use.
+func (n *Server) applyEvacuations() {
 	dataCentres := make(map[string]bool)
 	for _, o := range n.follower.Mirror.List(keys.Evacuations) {
 		dataCentres[strings.TrimPrefix(o.Key, keys.Evacuations)] = true
@@ -103,8 +104,8 @@
 	_ = level.Info(n.logger).Log("msg", "data centres out of use", "data_centres", slices.Sorted(maps.Keys(dataCentres)))
 }
 
-// accept puts a configuration in force unless a later one is.
-func (n *Server) accept(o infra.Object) {
+// applyConfiguration puts an accepted configuration in force unless this or a later revision already is.
+func (n *Server) applyConfiguration(o infra.Object) {
 	t, err := n.platform.Table(follow.Revision(o), o.Value)
 	if err != nil {
 		_ = level.Error(n.logger).Log("msg", "configuration cannot be read", "key", o.Key, "revision", follow.Revision(o), "err", err)
@@ -117,13 +118,13 @@
 	_ = level.Info(n.logger).Log("msg", "configuration in force", "version", t.Version, "revision", t.Revision, "routes", t.Size())
 }
 
-// listedAsOf returns an instant as of which the store itself has told this node all endpoints, once they are in the directory.
-// Groups are formed by nothing else: a copy from others may hold only those that take requests.
-func (n *Server) listedAsOf() time.Time {
-	if at, sequence := n.follower.Listed(); n.applied.Load() >= sequence {
-		n.listed.Store(&at)
+// endpointsListedAt returns a time as of which the directory holds all endpoints as listed by the store itself, or zero.
+// Groups are formed only from such a list: a copy pulled from another node may hold only the endpoints that take requests.
+func (n *Server) endpointsListedAt() time.Time {
+	if at, sequence := n.follower.Listed(); n.appliedSequence.Load() >= sequence {
+		n.listedAt.Store(&at)
 	}
-	if at := n.listed.Load(); at != nil {
+	if at := n.listedAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
--- a/internal/server/election_test.go
+++ b/internal/server/election_test.go
@@ -12,17 +12,17 @@
 
 var origin = time.Unix(1000, 0)
 
-// cores is the capacity of the nodes of these tests that is not said otherwise.
-const cores = 400
+// defaultCapacity is the capacity of the nodes in these tests unless stated otherwise, in thousandths of a core.
+const defaultCapacity = 400
 
-// beatOf is what a node that started at that time told in a beat some time ago.
-func beatOf(started, now time.Time, age time.Duration) *gossip.Peer {
-	return &gossip.Peer{Identity: gossip.Identity{Capacity: cores}, Status: gossip.Status{Eligible: true, Uptime: now.Add(-age).Sub(started)}, Heard: now.Add(-age)}
+// peerFromBeat returns a peer that started at the given time, as known from a heartbeat of the given age.
+func peerFromBeat(started, now time.Time, age time.Duration) *gossip.Peer {
+	return &gossip.Peer{Identity: gossip.Identity{Capacity: defaultCapacity}, Status: gossip.Status{Eligible: true, Uptime: now.Add(-age).Sub(started)}, Heard: now.Add(-age)}
 }
 
 func TestSomeoneAlwaysWantsToLead(t *testing.T) {
-	// Nodes that are restarted one after the other, two seconds apart, once left nobody who wanted to lead for
-	// twenty seconds: each saw another that went first.
+	// Guards against a fleet in which no node tries to lead, as happened for twenty seconds while nodes were restarted one
+	// after the other, two seconds apart: each knew of another that it preferred.
 	rapid.Check(t, func(t *rapid.T) {
 		now := origin.Add(time.Minute)
 		n := rapid.IntRange(1, 9).Draw(t, "nodes")
@@ -34,21 +34,21 @@
 		wanting := 0
 		for i := range starts {
 			e := newElection(starts[i], sizes[i])
-			e.led = now
+			e.leaderHeardAt = now
 			var live []*gossip.Peer
 			for j := range starts {
 				if j != i {
-					beat := beatOf(starts[j], now, time.Duration(rapid.IntRange(0, 150).Draw(t, "age"))*time.Millisecond)
+					beat := peerFromBeat(starts[j], now, time.Duration(rapid.IntRange(0, 150).Draw(t, "age"))*time.Millisecond)
 					beat.Capacity = sizes[j]
 					live = append(live, beat)
 				}
 			}
-			if e.wants(now, true, true, false, live) {
+			if e.wantsLease(now, true, true, false, live) {
 				wanting++
 			}
 		}
 		if wanting == 0 {
-			t.Fatalf("nobody wants to lead; starts %v", starts)
+			t.Fatalf("no node wants to lead; start times %v", starts)
 		}
 	})
 }
@@ -56,51 +56,51 @@
 func TestOnlyTheOldestWantsToLead(t *testing.T) {
 	now := origin.Add(time.Minute)
 	old, young := origin, origin.Add(30*time.Second)
-	qt.Check(t, newElection(old, cores).wants(now, true, true, false, []*gossip.Peer{beatOf(young, now, 0)}), qt.IsTrue)
-	e := newElection(young, cores)
-	e.led = now
-	qt.Check(t, e.wants(now, true, true, false, []*gossip.Peer{beatOf(old, now, 0)}), qt.IsFalse)
+	qt.Check(t, newElection(old, defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{peerFromBeat(young, now, 0)}), qt.IsTrue)
+	e := newElection(young, defaultCapacity)
+	e.leaderHeardAt = now
+	qt.Check(t, e.wantsLease(now, true, true, false, []*gossip.Peer{peerFromBeat(old, now, 0)}), qt.IsFalse)
 }
 
 func TestALargerNodeLeadsThoughItIsYounger(t *testing.T) {
 	now := origin.Add(time.Minute)
 	old, young := origin, origin.Add(30*time.Second)
-	qt.Check(t, newElection(young, 2*cores).wants(now, true, true, false, []*gossip.Peer{beatOf(old, now, 0)}), qt.IsTrue)
-	larger := beatOf(young, now, 0)
-	larger.Capacity = 2 * cores
-	e := newElection(old, cores)
-	e.led = now
-	qt.Check(t, e.wants(now, true, true, false, []*gossip.Peer{larger}), qt.IsFalse)
+	qt.Check(t, newElection(young, 2*defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{peerFromBeat(old, now, 0)}), qt.IsTrue)
+	larger := peerFromBeat(young, now, 0)
+	larger.Capacity = 2 * defaultCapacity
+	e := newElection(old, defaultCapacity)
+	e.leaderHeardAt = now
+	qt.Check(t, e.wantsLease(now, true, true, false, []*gossip.Peer{larger}), qt.IsFalse)
 }
 
-func TestEveryoneWantsToLeadAfterAWhileWithoutALeader(t *testing.T) {
+func TestEveryRelayWantsToLeadAfterTheLeaderlessTimeout(t *testing.T) {
 	now := origin.Add(time.Minute)
-	e := newElection(origin.Add(30*time.Second), cores)
-	e.led = now
-	older := []*gossip.Peer{beatOf(origin, now, 0)}
-	qt.Check(t, e.wants(now.Add(leaderlessFor), true, true, false, older), qt.IsFalse)
-	qt.Check(t, e.wants(now.Add(leaderlessFor+time.Millisecond), true, true, false, older), qt.IsTrue)
+	e := newElection(origin.Add(30*time.Second), defaultCapacity)
+	e.leaderHeardAt = now
+	older := []*gossip.Peer{peerFromBeat(origin, now, 0)}
+	qt.Check(t, e.wantsLease(now.Add(leaderlessTimeout), true, true, false, older), qt.IsFalse)
+	qt.Check(t, e.wantsLease(now.Add(leaderlessTimeout+time.Millisecond), true, true, false, older), qt.IsTrue)
 }
 
 func TestRelaysLeadBeforeOtherNodes(t *testing.T) {
 	now := origin.Add(time.Minute)
-	e := newElection(origin, cores)
-	e.led = now
-	qt.Check(t, e.wants(now.Add(2*leaderlessFor), true, false, false, nil), qt.IsFalse)
-	qt.Check(t, e.wants(now.Add(2*leaderlessFor+time.Millisecond), true, false, false, nil), qt.IsTrue, qt.Commentf("no relay could"))
+	e := newElection(origin, defaultCapacity)
+	e.leaderHeardAt = now
+	qt.Check(t, e.wantsLease(now.Add(2*leaderlessTimeout), true, false, false, nil), qt.IsFalse)
+	qt.Check(t, e.wantsLease(now.Add(2*leaderlessTimeout+time.Millisecond), true, false, false, nil), qt.IsTrue, qt.Commentf("no relay has been able to lead"))
 }
 
-func TestNobodyWantsToLeadBesideALeader(t *testing.T) {
+func TestNoNodeWantsToLeadWhileALeaderIsLive(t *testing.T) {
 	now := origin.Add(time.Minute)
-	leader := beatOf(origin.Add(time.Second), now, 0)
+	leader := peerFromBeat(origin.Add(time.Second), now, 0)
 	leader.LeaderEpoch = 7
-	qt.Check(t, newElection(origin, cores).wants(now, true, true, false, []*gossip.Peer{leader}), qt.IsFalse)
+	qt.Check(t, newElection(origin, defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{leader}), qt.IsFalse)
 }
 
-func TestNodesThatCannotLeadStandBack(t *testing.T) {
+func TestNodesThatCannotLeadAreNotPreferred(t *testing.T) {
 	now := origin.Add(time.Minute)
-	qt.Check(t, newElection(origin, cores).wants(now, false, true, true, nil), qt.IsFalse)
-	leaving := beatOf(origin, now, 0)
+	qt.Check(t, newElection(origin, defaultCapacity).wantsLease(now, false, true, true, nil), qt.IsFalse)
+	leaving := peerFromBeat(origin, now, 0)
 	leaving.Leaving = true
-	qt.Check(t, newElection(origin.Add(time.Second), cores).wants(now, true, true, false, []*gossip.Peer{leaving}), qt.IsTrue)
+	qt.Check(t, newElection(origin.Add(time.Second), defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{leaving}), qt.IsTrue)
 }
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// acceptPart is the part of the grace during which callers who hold an earlier answer are still served.
-	acceptPart = 0.45
-	// finishPart is the part of the grace by which what has begun should have finished.
-	finishPart = 0.94
+	// acceptFraction is the fraction of the grace period during which requests are still accepted from callers that were given
+	// this node's address earlier.
+	acceptFraction = 0.45
+	// finishFraction is the fraction of the grace period by which running requests should have finished.
+	finishFraction = 0.94
 )
 
-// leave stops taking callers, first new ones, and waits until what has begun has finished.
+// leave announces that this node is leaving, so that no new callers are sent to it, later stops accepting requests, and waits
+// for running requests to finish.
 func (n *Server) leave(callers *http.Server) {
 	since := clock.Now()
 	n.leaving.Store(true)
 	n.gossip.Kick()
 	_ = level.Info(n.logger).Log("msg", "stopping", "grace_ms", n.settings.GraceMS)
 	grace := n.settings.Grace()
-	time.Sleep(time.Duration(acceptPart * float64(grace)))
-	ctx, cancel := clock.WithDeadline(context.Background(), since.Add(time.Duration(finishPart*float64(grace))))
+	time.Sleep(time.Duration(acceptFraction * float64(grace)))
+	ctx, cancel := clock.WithDeadline(context.Background(), since.Add(time.Duration(finishFraction*float64(grace))))
 	defer cancel()
 	if err := callers.Shutdown(ctx); err != nil {
-		_ = level.Warn(n.logger).Log("msg", "requests cut off by the end of the grace", "err", err)
+		_ = level.Warn(n.logger).Log("msg", "grace period ended before all requests had finished", "err", err)
 	}
 }
--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -6,10 +6,10 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-// listeners are the sockets at which a process takes callers, and those who look after it; nil where it does not.
+// listeners are the sockets for callers and for operation and monitoring of the process; nil where no address is set.
 type listeners struct{ caller, registry, readiness, metrics net.Listener }
 
-// listen opens the sockets for all but other nodes.
+// listen opens all sockets except those for other nodes.
 func listen(s *settings.Gateway) (out listeners, err error) {
 	for _, l := range []struct {
 		address string
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	metricsPrefix = "moorrun"
-	metricsEvery  = time.Second
-	metricsPath   = "/metrics"
+	metricsPrefix   = "moorrun"
+	metricsInterval = time.Second
+	metricsPath     = "/metrics"
 )
 
-// newScope returns the root of this process's metrics, whose values reporter keeps, and what ends it.
+// newScope returns the root scope of this process's metrics, which writes to reporter, and the closer of that scope.
 func newScope(reporter *metrics.Reporter, dataCentre string) (tally.Scope, io.Closer) {
 	return tally.NewRootScope(tally.ScopeOptions{
 		Prefix: metricsPrefix, Reporter: reporter, Separator: "_", Tags: map[string]string{"data_centre": dataCentre},
-	}, metricsEvery)
+	}, metricsInterval)
 }
 
-// figures serves this process's metrics, and what it knows of the fleet.
-func (n *Server) figures() http.Handler {
+// metricsHandler serves this process's metrics and the overview of the fleet.
+func (n *Server) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+overviewPath, n.serveOverview)
 	mux.HandleFunc("GET "+metricsPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -40,10 +40,10 @@
 	return mux
 }
 
-// gauge sets the gauges until ctx ends.
-func (n *Server) gauge(ctx context.Context) error {
+// updateGauges updates the gauges every metricsInterval until ctx ends.
+func (n *Server) updateGauges(ctx context.Context) error {
 	s := n.scope
-	loop.Every(ctx, metricsEvery, func(now time.Time) {
+	loop.Every(ctx, metricsInterval, func(now time.Time) {
 		s.Gauge("configuration_proof_age_seconds").Update(now.Sub(n.follower.Current(keys.Accepted)).Seconds())
 		s.Gauge("endpoints_proof_age_seconds").Update(now.Sub(n.follower.Current(keys.Endpoints)).Seconds())
 		s.Gauge("peers_live").Update(float64(len(n.gossip.Live(now))))
--- a/internal/server/overview.go
+++ b/internal/server/overview.go
@@ -9,33 +9,35 @@
 	"moorrun.dev/moorrun/internal/gossip"
 )
 
-// overviewPath is where the metrics address serves what this node knows of the fleet.
+// overviewPath is the path at the metrics address of the overview of the fleet.
 const overviewPath = "/fleet"
 
-// overview is the fleet as one node knows it. A relay knows every node, and how old the copies are of those that report to
-// it; any other node knows the relays and the largest nodes.
+// overview describes the fleet as one node knows it. A relay knows every node, and the age of the copies of the nodes that
+// report to it; any other node knows the relays and the largest nodes.
 type overview struct {
 	VM      string       `json:"vm"`
-	Nodes   int          `json:"nodes"` // this one included, and those lost in the last forty seconds
+	Nodes   int          `json:"nodes"` // includes this node and those lost in the last forty seconds
 	Leader  string       `json:"leader,omitempty"`
 	Members []memberView `json:"members"`
 }
 
-// memberView is one node as another knows it.
+// memberView describes one node as another node knows it.
 type memberView struct {
 	VM         string `json:"vm"`
 	DataCentre string `json:"data_centre"`
 	Leads      bool   `json:"leads,omitempty"`
 	Relays     bool   `json:"relays,omitempty"`
-	Watches    bool   `json:"watches,omitempty"` // the store
+	Watches    bool   `json:"watches,omitempty"` // watches the store itself
 	Serving    bool   `json:"serving"`
 	Leaving    bool   `json:"leaving,omitempty"`
-	// CopyAgeMS is how old its copy of the store is at the most; it is missing if only others have told of the node.
+	// CopyAgeMS is the maximum age of the node's copy of the store, in milliseconds; it is missing for a node that is known only
+	// through other nodes.
 	CopyAgeMS *int64 `json:"copy_age_ms,omitempty"`
 }
 
-// overviewOf returns what a node knows that is in that state and hears of those others.
-func overviewOf(self gossip.Peer, others []*gossip.Peer, nodes int, now time.Time) overview {
+// newOverview returns the overview of the node self, which hears of the given other nodes and knows of a fleet of the given
+// number of nodes.
+func newOverview(self gossip.Peer, others []*gossip.Peer, nodes int, now time.Time) overview {
 	out := overview{VM: self.VM, Nodes: nodes}
 	for _, p := range append([]*gossip.Peer{&self}, others...) {
 		m := memberView{
@@ -53,11 +55,11 @@
 	return out
 }
 
-// serveOverview answers with what this node knows of the fleet.
+// serveOverview answers with this node's overview of the fleet as JSON.
 func (n *Server) serveOverview(w http.ResponseWriter, _ *http.Request) {
 	now := clock.Now()
 	self := gossip.Peer{Identity: n.gossip.Self(), Status: n.status(now)}
 	self.Relay = n.gossip.Relaying()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(overviewOf(self, n.gossip.Live(now), 1+n.gossip.Known(now), now)) //nolint:errchkjson // the reader has left
+	_ = json.NewEncoder(w).Encode(newOverview(self, n.gossip.Live(now), 1+n.gossip.Known(now), now)) //nolint:errchkjson // fails only if the client has disconnected
 }
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -1,5 +1,4 @@
-// Package server puts the parts of a moorrund process together that serves the callers of a platform, in front
-// of the platform's endpoints.
+// Package server assembles a moorrund process that serves the callers of a platform in front of the platform's endpoints.
 package server
 
 import (
@@ -16,23 +15,24 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-// Platform translates between the product and one platform. It decides nothing.
+// Platform adapts moorrund to one platform. It only translates and makes no decisions.
 type Platform struct {
 	Objects infra.ObjectStore
-	// Recent lists the objects below a prefix for a tenth of the charge; the list may be some seconds old.
+	// Recent lists the objects below a prefix at a tenth of the price of a regular list; the result may be some seconds old.
 	Recent func(ctx context.Context, prefix string) (infra.Listing, error)
 	Engine formation.Engine
 	// Table decodes the accepted configuration.
 	Table func(revision int64, value []byte) (*route.Table, error)
 	// Endpoint decodes an endpoint's entry.
 	Endpoint func(id string, revision int64, value []byte) (*endpoint.Endpoint, error)
-	// Callers serves callers through the gateway. When leaving, it asks them to connect elsewhere.
+	// Callers returns the handler that serves callers through the gateway. While leaving returns true, the handler asks them to
+	// connect to another node.
 	Callers func(g *gateway.Gateway, limits func() route.Limits, leaving func() bool) http.Handler
-	// Registry answers which addresses callers of a data centre are to use, and for how long.
+	// Registry returns the handler that answers which addresses callers of a data centre should use, and for how long.
 	Registry func(addresses func(dataCentre string) []string, lifetime time.Duration) http.Handler
-	// Readiness answers whether this node takes callers.
+	// Readiness returns the handler that answers whether this node accepts new callers.
 	Readiness func(ready func() bool) http.Handler
 }
 
-// NewPlatform makes the adapter of a platform for one process; calls is shared with the rest of the process.
+// NewPlatform creates a platform's adapter for one process; calls is shared with the rest of the process.
 type NewPlatform func(s *settings.Gateway, calls *httpcall.Client) *Platform
--- a/internal/server/proof.go
+++ b/internal/server/proof.go
@@ -10,14 +10,14 @@
 	"moorrun.dev/moorrun/internal/loop"
 )
 
-// proofWatchEvery is how often the age of the configuration's proof is looked at; it only delays a line in the log.
-const proofWatchEvery = 250 * time.Millisecond
+// proofCheckInterval is the interval at which the age of the configuration's proof is checked; it only delays a log line.
+const proofCheckInterval = 250 * time.Millisecond
 
-// watchProof logs when the configuration in force is not proved current any more and when it is again, until ctx
-// ends. Whether requests are served meanwhile is decided where they are let in.
-func (n *Server) watchProof(ctx context.Context) error {
+// monitorProof logs when the configuration in force is no longer proved current and when it is again, until ctx ends. The
+// gateway decides whether requests are served in the meantime.
+func (n *Server) monitorProof(ctx context.Context) error {
 	stale := false
-	loop.Every(ctx, proofWatchEvery, func(now time.Time) {
+	loop.Every(ctx, proofCheckInterval, func(now time.Time) {
 		t := n.table.Load()
 		if t == nil {
 			return
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -11,14 +11,14 @@
 	"moorrun.dev/moorrun/internal/quarantine"
 )
 
-// isolate puts together what holds back requests that end endpoints.
-func (n *Server) isolate() {
+// setUpQuarantine creates the parts that detect and hold back requests that cause endpoints to end.
+func (n *Server) setUpQuarantine() {
 	n.quarantine = quarantine.NewTable()
-	n.quarantine.OnHeld = n.toldHeld
+	n.quarantine.OnHeld = n.logHeld
 	n.gossip.Quarantine = n.quarantine
 	endings := n.scope.Counter("endpoint_endings")
 	n.inquiry = &quarantine.Inquiry{
-		Table: n.quarantine, Directory: n.directory, Ask: n.findOut, Logger: n.logger,
+		Table: n.quarantine, Directory: n.directory, Ask: n.probeEndpoint, Logger: n.logger,
 		Noted: func(held bool) {
 			endings.Inc(1)
 			if held {
@@ -26,15 +26,15 @@
 			}
 		},
 	}
-	n.holds = &quarantine.Keeper{
+	n.quarantineKeeper = &quarantine.Keeper{
 		Table: n.quarantine, Objects: n.platform.Objects, Recent: n.platform.Recent, Logger: n.logger, FirstStart: n.settings.FirstStart,
 		Leads: func(now time.Time) int64 { return n.controller.Leads(now) },
 		Alone: func(now time.Time) bool { return len(n.gossip.Live(now)) == 0 },
 	}
 }
 
-// findOut asks an endpoint whether it lives.
-func (n *Server) findOut(ctx context.Context, e *endpoint.Endpoint) quarantine.Finding {
+// probeEndpoint asks an endpoint whether it is alive.
+func (n *Server) probeEndpoint(ctx context.Context, e *endpoint.Endpoint) quarantine.Finding {
 	switch answer := n.platform.Engine.Ask(ctx, e); {
 	case answer.Heard():
 		return quarantine.Alive
@@ -45,7 +45,7 @@
 	}
 }
 
-// toldHeld logs that a request is held back from now on, whoever has found it.
-func (n *Server) toldHeld(r quarantine.Record) {
+// logHeld logs that a request is held back from now on, whichever node has found it.
+func (n *Server) logHeld(r quarantine.Record) {
 	_ = level.Warn(n.logger).Log("msg", "request is held back", "fingerprint", r.Fingerprint, "endings", len(r.Endings), "hold_ms", r.Hold.Milliseconds())
 }
--- a/internal/server/rates.go
+++ b/internal/server/rates.go
@@ -6,7 +6,8 @@
 	"moorrun.dev/moorrun/internal/ratelimit"
 )
 
-// limitChanged logs that an endpoint names another limit than before, or none any more, and tells the others at once.
+// limitChanged logs that an endpoint has changed or withdrawn the rate limit that it sets, and notifies the other nodes at
+// once.
 func (n *Server) limitChanged(endpoint string, l ratelimit.Limit) {
 	_ = level.Info(n.logger).Log("msg", "endpoint limit", "endpoint", endpoint, "named", l.Named, "per_second", l.PerSecond)
 	n.gossip.Kick()
--- a/internal/server/registration.go
+++ b/internal/server/registration.go
@@ -17,134 +17,139 @@
 )
 
 const (
-	// registrarOneIn is how many nodes there are for each that registers without being asked to. Nodes that know a few
-	// others hear of all of them, so a fleet of 295 makes some 70 calls that are charged in full, not 590.
-	registrarOneIn = 8
-	// enoughRegistered is how many others have to be registered for a node not to register.
-	enoughRegistered = 6
-	// registerPatience is how many times a node looks for others before it registers though it is no registrar. Lists may be
-	// some tenths of a second old, and those of a small fleet never show enough.
-	registerPatience = 3
-	// startPatience is how long a new process waits for the beats of others before it asks the store: those that live
-	// send one each 100 ms to the address that it had before.
-	startPatience = 150 * time.Millisecond
-	// firstLook is how long a node waits at the first start of a fleet before it looks for others: lists show the registrars
-	// some tenths of a second late, and each look is a call.
-	firstLook = 1200 * time.Millisecond
-	// firstStartPatience is startPatience at the first start of a fleet: within it nodes find the registrars and hear others.
-	firstStartPatience = 2 * time.Second
-	// turnWait is how much longer it is for each node that goes before this one: within that time most of a fleet of 300 has
-	// the copy of the first. Without turns the nodes of a fleet of 300 that were all killed made 258 calls until they routed
-	// again, with them 91, in the same time.
-	turnWait = 400 * time.Millisecond
-	// startSpread is how much longer the wait is at most for each node of a large fleet that would ask as soon, so that
-	// ten a second ask, however many there are, until those that were answered have told the others: each asks for some ten pages.
-	startSpread = 100 * time.Millisecond
-	// smallerWait is how much longer it is for a node of a fleet with larger VMs: the first ones with a copy hand it on to
-	// all others, which over a link of 20 Mbit/s takes seconds.
-	smallerWait = time.Second
-	// meetWithin is within what the nodes of a fleet that starts have met and agree on who relays.
-	meetWithin = 3 * time.Second
-	// registerRetry and registerRetryMax bound the growing pause between two tries to register.
-	registerRetry    = 250 * time.Millisecond
+	// nodesPerRegistrar is the average number of nodes for each registrar, a node that registers without listing the others
+	// first. Nodes that know a few others learn of all of them by gossip, so a fleet of 295 makes some 70 calls at full price
+	// instead of 590.
+	nodesPerRegistrar = 8
+	// minRegistered is the number of other registered nodes that makes it unnecessary for a node to register, unless it is a
+	// registrar.
+	minRegistered = 6
+	// maxRegisterTries is how many times a node that is no registrar lists the registered nodes before it registers itself. A
+	// list may be some tenths of a second old, and in a small fleet it never reaches minRegistered.
+	maxRegisterTries = 3
+	// baseStartDelay is how long a new process waits for heartbeats of other nodes before it queries the store. Live nodes send
+	// one every 100 ms to the address that the previous process had.
+	baseStartDelay = 150 * time.Millisecond
+	// firstListDelay is how long a node waits at the first start of a fleet before it lists the registered nodes: registrars
+	// appear in lists some tenths of a second late, and each list is a call that is charged.
+	firstListDelay = 1200 * time.Millisecond
+	// firstStartDelay replaces baseStartDelay at the first start of a fleet: within it nodes find the registrars and hear from
+	// other nodes.
+	firstStartDelay = 2 * time.Second
+	// turnInterval is added to the start delay for each node whose turn comes before this node's: within it most of a fleet of
+	// 300 receives the first node's copy. After all nodes of a fleet of 300 had been killed, they made 258 calls without turns
+	// and 91 with turns until they routed again, in the same time.
+	turnInterval = 400 * time.Millisecond
+	// startSpreadPerNode is added to the upper limit of the random start delay for each node of a large fleet that would query
+	// the store in the same period. Thus ten nodes a second query it, whatever the size of the fleet, until those that have
+	// been answered have passed the copy on. Each query takes some ten pages.
+	startSpreadPerNode = 100 * time.Millisecond
+	// smallerNodeDelay is added to the start delay of a node if others have larger VMs: the first nodes with a copy pass it on
+	// to all others, which takes seconds over a link of 20 Mbit/s.
+	smallerNodeDelay = time.Second
+	// relaySettleTime is the time within which the nodes of a starting fleet discover each other and agree on the relays.
+	relaySettleTime = 3 * time.Second
+	// registerRetryMin and registerRetryMax bound the exponential backoff between attempts to register.
+	registerRetryMin = 250 * time.Millisecond
 	registerRetryMax = time.Second
 )
 
-// registration is what a node writes to the store so that others find it.
+// registration is the entry that a node writes to the store so that others find it.
 type registration struct {
 	PeerAddress string `json:"peer_address"`
 	DataCentre  string `json:"data_centre"`
 	Capacity    uint32 `json:"capacity"` // in thousandths of a core
 }
 
-// register learns of the others, and makes this node known unless enough others are, once.
+// register discovers the other nodes when the process starts, and registers this node unless enough others are registered.
 func (n *Server) register(ctx context.Context) error {
 	if n.settings.FirstStart {
 		if isRegistrar(n.settings.VM) {
 			n.writeRegistration(ctx)
 		}
-		loop.Sleep(ctx, firstLook)
+		loop.Sleep(ctx, firstListDelay)
 	}
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = registerRetry
+	retry.InitialInterval = registerRetryMin
 	retry.MaxInterval = registerRetryMax
-	for tries := 1; ctx.Err() == nil && !n.registered(ctx, tries); tries++ {
+	for tries := 1; ctx.Err() == nil && !n.tryRegister(ctx, tries); tries++ {
 		loop.Sleep(ctx, retry.NextBackOff())
 	}
 	return nil
 }
 
-// registered looks who is registered, registers this node if it should be, and reports whether it has nothing more to do to
-// find the others and be found. Of two nodes that register at once the later one finds the earlier one, since it looks until
-// it is listed itself.
-func (n *Server) registered(ctx context.Context, tries int) bool {
+// tryRegister lists the registered nodes, registers this node if it should be, and reports whether registration is complete.
+// Of two nodes that register at the same time the later one finds the earlier one, since it repeats the list until it
+// contains the node itself.
+func (n *Server) tryRegister(ctx context.Context, tries int) bool {
 	l, err := n.platform.Recent(ctx, keys.Gateways)
 	if err != nil {
 		return false
 	}
 	others := n.introduce(l.Objects)
-	if n.lists(l.Objects) {
-		return others >= enoughRegistered || tries > registerPatience
+	if n.isListed(l.Objects) {
+		return others >= minRegistered || tries > maxRegisterTries
 	}
-	alone := others < enoughRegistered && tries > registerPatience
+	alone := others < minRegistered && tries > maxRegisterTries
 	if !isRegistrar(n.settings.VM) && !alone {
-		return others >= enoughRegistered
+		return others >= minRegistered
 	}
-	if !n.written { // lists may be some tenths of a second old
+	if !n.registrationWritten { // the list may be some tenths of a second old
 		n.writeRegistration(ctx)
 	}
 	return false
 }
 
-// startPatience is how long this new process waits for others to tell it the configuration before it asks the store.
-func (n *Server) startPatience() time.Duration {
-	wait := startPatience
+// startDelay returns how long this new process waits to receive the configuration from other nodes before it queries the
+// store.
+func (n *Server) startDelay() time.Duration {
+	wait := baseStartDelay
 	if n.settings.FirstStart {
-		wait = firstStartPatience
+		wait = firstStartDelay
 	}
-	c := n.crowd.Load()
-	if c == nil || c.few {
+	c := n.fleetProfile.Load()
+	if c == nil || c.small {
 		return wait
 	}
-	wait += c.turnAfter()
-	if c.larger {
-		wait += smallerWait
+	wait += c.turnDelay()
+	if c.hasLarger {
+		wait += smallerNodeDelay
 	}
-	if c.turn {
+	if c.hasTurn {
 		return wait
 	}
-	return wait + time.Duration(n.startDraw*float64(c.alike)*float64(startSpread))
+	return wait + time.Duration(n.startJitter*float64(c.cohort)*float64(startSpreadPerNode))
 }
 
-// yields is how much later than it has this node counts as having started when a leader is chosen. Each node that wants to lead
-// reads the lease: all fifty large ones of 986 nodes made 128 calls until they had heard who led.
-func (n *Server) yields() time.Duration {
-	return n.crowd.Load().turnAfter()
+// electionDelay returns the time that is deducted from this node's uptime in the election. Each node that wants to lead reads
+// the lease: all fifty large nodes of a fleet of 986 made 128 calls until they had heard who led.
+func (n *Server) electionDelay() time.Duration {
+	return n.fleetProfile.Load().turnDelay()
 }
 
-// smaller reports whether this node has just started with a large fleet of which others have larger VMs.
-func (n *Server) smaller() bool {
-	c := n.crowd.Load()
-	return c != nil && c.larger && clock.Since(n.started) < meetWithin
+// isSmallerAtStart reports whether this node has just started in a large fleet in which other nodes have larger VMs.
+func (n *Server) isSmallerAtStart() bool {
+	c := n.fleetProfile.Load()
+	return c != nil && c.hasLarger && clock.Since(n.started) < relaySettleTime
 }
 
-// isRegistrar reports whether that node registers without looking for others first.
-func isRegistrar(vm string) bool { return xxhash.Sum64String(vm)%registrarOneIn == 0 }
+// isRegistrar reports whether the node on that VM registers without listing the other nodes first.
+func isRegistrar(vm string) bool { return xxhash.Sum64String(vm)%nodesPerRegistrar == 0 }
 
-// lists reports whether this node's address is among the registered ones.
-func (n *Server) lists(objects []infra.Object) bool {
+// isListed reports whether the objects contain this node's current registration.
+func (n *Server) isListed(objects []infra.Object) bool {
 	return slices.ContainsFunc(objects, func(o infra.Object) bool {
 		var r registration
 		return o.Key == keys.Gateways+n.settings.VM && json.Unmarshal(o.Value, &r) == nil && r == n.ownRegistration()
 	})
 }
 
-// ownRegistration is what the store is to hold of this node.
+// ownRegistration returns the registration that the store should hold for this node.
 func (n *Server) ownRegistration() registration {
 	return registration{PeerAddress: n.settings.PeerAddress, DataCentre: n.settings.DataCentre, Capacity: n.gossip.Self().Capacity}
 }
 
-// introduce makes the registered nodes known to the gossip and returns how many others there are.
+// introduce passes the other registered nodes to the gossip, updates the fleet profile and returns how many others there are.
 func (n *Server) introduce(objects []infra.Object) int {
 	var others []gossip.Identity
 	for _, o := range objects {
@@ -158,27 +163,27 @@
 		others = append(others, id)
 		n.gossip.Introduce(id)
 	}
-	n.crowd.Store(crowdOf(n.gossip.Self(), others, n.lists(objects)))
+	n.fleetProfile.Store(newFleetProfile(n.gossip.Self(), others, n.isListed(objects)))
 	return len(others)
 }
 
-// writeRegistration makes sure that the store holds this node's address, as far as it answers.
+// writeRegistration makes sure that the store holds this node's registration, and sets registrationWritten if it does.
 func (n *Server) writeRegistration(ctx context.Context) {
 	key := keys.Gateways + n.settings.VM
 	own := n.ownRegistration()
 	if outcome, _, _ := n.platform.Objects.Put(ctx, key, own, 0); outcome == infra.Applied {
-		n.written = true
+		n.registrationWritten = true
 		return
 	}
 	held, err := n.platform.Objects.Get(ctx, key)
 	if err != nil {
-		return // it is tried again at the next look
+		return // tryRegister repeats it
 	}
 	var r registration
 	if json.Unmarshal(held.Value, &r) == nil && r == own {
-		n.written = true
+		n.registrationWritten = true
 		return
 	}
 	outcome, _, _ := n.platform.Objects.Put(ctx, key, own, held.Version)
-	n.written = outcome == infra.Applied
+	n.registrationWritten = outcome == infra.Applied
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -10,9 +10,9 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-// Reload reads the settings anew on SIGHUP. New peers are taken in at once; whatever else differs counts from the next start. A
-// file that is faulty changes nothing. The signal is taken until the process ends: left to itself it would end one that is
-// stopping, with all that it still has to finish.
+// Reload rereads the settings file on every SIGHUP. New peers are added at once; other changes take effect at the next start.
+// An invalid file changes nothing. The signal is handled until the process exits, because its default action would kill a
+// stopping process along with the requests that it still has to finish.
 func (n *Server) Reload(file string) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// servePart is the part of the credential proof's limit up to which a node takes new callers.
-	servePart = 0.6
-	probeWait = 600 * time.Millisecond
-	// probeNodes is how many other nodes are asked at a time whether they hear an endpoint.
-	probeNodes = 12
+	// serveFraction is the fraction of the maximum age of the credential proof up to which a node accepts new callers.
+	serveFraction = 0.6
+	probeTimeout  = 600 * time.Millisecond
+	// maxProbeNodes is how many other nodes are asked at once whether an endpoint answers them.
+	maxProbeNodes = 12
 )
 
-// status is what the other nodes are told.
+// status returns the status that this node sends to the others.
 func (n *Server) status(now time.Time) gossip.Status {
 	s := n.ownStatus(now)
 	s.Leaving = n.leaving.Load()
@@ -35,7 +35,7 @@
 	}
 	s.LeaderEpoch = n.controller.Leads(now)
 	s.Uptime = n.election.uptime(now)
-	s.ProofAt, s.Watching = n.follower.Whole() // before the sequences, which may then be later than what it is of
+	s.ProofAt, s.Watching = n.follower.Whole() // read before the sequences, which then cover at least the state that it proves
 	s.Sequence, s.Routing, s.Full = n.follower.Mirror.Sequence(), n.follower.Mirror.RoutingSequence(), n.follower.Full()
 	if s.LeaderEpoch > 0 {
 		s.Retiring = n.controller.Retiring()
@@ -46,14 +46,14 @@
 	return s
 }
 
-// ownStatus is this node's loads and doubts.
+// ownStatus returns the part of the status that the picker reports: this node's loads and the groups that it suspects.
 func (n *Server) ownStatus(now time.Time) gossip.Status {
 	var s gossip.Status
 	n.picker.Report(&s, now)
 	return s
 }
 
-// serving reports whether requests can be answered here.
+// serving reports whether this node can answer requests.
 func (n *Server) serving(now time.Time) bool {
 	if n.table.Load() == nil {
 		return false
@@ -62,31 +62,32 @@
 		return true
 	}
 	age := now.Sub(n.follower.Current(keys.Accepted))
-	return float64(age) < servePart*float64(n.settings.CredentialProof())
+	return float64(age) < serveFraction*float64(n.settings.CredentialProof())
 }
 
-// ready reports whether this node takes new callers.
+// ready reports whether this node accepts new callers.
 func (n *Server) ready() bool { return !n.leaving.Load() && n.serving(clock.Now()) }
 
-// wantsLead reports whether this node should hold the leader's lease. While somebody else holds it there is nothing to ask the
-// store for, though the holder is not heard yet.
+// wantsLead reports whether this node should hold the leader's lease. While another node holds it, this one does not query the
+// store for it, even if it has not heard from the holder yet.
 func (n *Server) wantsLead() bool {
 	now := clock.Now()
 	leads := n.controller.Leads(now) > 0
-	able := !n.leaving.Load() && n.table.Load() != nil && (n.follower.StoreAnswers() || leads && n.listedLately(now))
-	wants := n.election.wants(now, able, n.gossip.Relaying() && !n.smaller(), leads, n.gossip.Live(now))
+	able := !n.leaving.Load() && n.table.Load() != nil && (n.follower.StoreAnswers() || leads && n.listedRecently(now))
+	wants := n.election.wantsLease(now, able, n.gossip.Relaying() && !n.isSmallerAtStart(), leads, n.gossip.Live(now))
 	return wants && (leads || !n.keeper.HeldElsewhere(now))
 }
 
-// listedLately reports whether a leader still knows enough to decide, though the store has not answered its last call. The store
-// may cut watches that wait, and connections break; giving the lease up for that cost two seconds without orders, and forty
-// calls of all the nodes that could lead. If the store answers nothing, the lease runs out by itself.
-func (n *Server) listedLately(now time.Time) bool {
-	return now.Sub(n.listedAsOf()) <= formation.FreshEnough
+// listedRecently reports whether the leader's list of endpoints is recent enough to decide on, although the store has not
+// answered its last call. The store may cut waiting watches, and connections break; giving up the lease for that cost two
+// seconds without orders and forty calls by all the nodes that could lead. If the store answers nothing, the lease expires by
+// itself.
+func (n *Server) listedRecently(now time.Time) bool {
+	return now.Sub(n.endpointsListedAt()) <= formation.FreshEnough
 }
 
-// heard takes in another node's beat.
-func (n *Server) heard(p *gossip.Peer) {
+// handleBeat processes another node's heartbeat.
+func (n *Server) handleBeat(p *gossip.Peer) {
 	n.follower.Heard(p)
 	switch {
 	case p.LeaderEpoch == 0:
@@ -97,7 +98,7 @@
 	n.picker.Review()
 }
 
-// retiring returns the groups that the leader is about to end.
+// retiring returns the names of the groups that the leader is about to end.
 func (n *Server) retiring(now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range n.controller.Retiring() {
@@ -109,35 +110,35 @@
 	return out
 }
 
-// lost reports whether the leader has found a group to have lost a member.
+// lost reports whether the leader has found that a group has lost a member.
 func (n *Server) lost(group string, now time.Time) bool {
 	return slices.Contains(n.controller.Lost(), group) || slices.Contains(n.gossip.Others(now).Lost, group)
 }
 
-// askFor asks an endpoint on behalf of another node.
-func (n *Server) askFor(ctx context.Context, id, address string) bool {
+// probeForPeer asks an endpoint on behalf of another node whether it is alive.
+func (n *Server) probeForPeer(ctx context.Context, id, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return n.platform.Engine.Ask(ctx, &endpoint.Endpoint{ID: id, Address: address}).Heard()
 }
 
-// heardElsewhere asks other nodes, in a large fleet some by chance, whether an endpoint answers them. One in a data centre
-// of which no node is heard any more counts as heard: packets may pass one way only, and then it serves on while it seems
-// silent to everybody else. Its group's members must not join others meanwhile.
-func (n *Server) heardElsewhere(ctx context.Context, e *endpoint.Endpoint) bool {
+// heardByOthers asks up to maxProbeNodes other nodes, chosen at random, whether an endpoint answers them. An endpoint in a data
+// centre of which no node is heard any more counts as heard: with packets passing in one direction only, it goes on serving
+// while it seems silent to all other data centres, and the members of its group must not join other groups meanwhile.
+func (n *Server) heardByOthers(ctx context.Context, e *endpoint.Endpoint) bool {
 	if n.gossip.OutOfSight(e.Zone, clock.Now()) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var g errgroup.Group
 	asked := slices.Clone(n.gossip.Live(clock.Now()))
 	rand.Shuffle(len(asked), func(i, j int) { asked[i], asked[j] = asked[j], asked[i] })
-	asked = asked[:min(len(asked), probeNodes)]
+	asked = asked[:min(len(asked), maxProbeNodes)]
 	answers := make(chan bool, len(asked))
 	for _, p := range asked {
 		g.Go(func() error {
-			answered, err := n.caller.Probe(ctx, p.PeerAddress, e.ID, e.Address)
+			answered, err := n.peerCaller.Probe(ctx, p.PeerAddress, e.ID, e.Address)
 			select {
 			case answers <- answered && err == nil:
 			default:
--- a/internal/server/traffic.go
+++ b/internal/server/traffic.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// busyWindow is the time in which a node has to take busyFrom requests to count as one that callers use. Callers are
-	// sent to few nodes; the others meet a request now and then, which does not make them need the fleet's loads.
-	busyWindow = 2 * time.Second
-	busyFrom   = 3
-	// knownWithin is within what nodes that have got requests know of each other that they have.
-	knownWithin = 3 * time.Second
+	// busyWindow is the time in which a node has to receive busyRequests requests to count as busy. Callers are sent to few
+	// nodes; the others receive a request now and then, for which they do not need the loads of the fleet.
+	busyWindow   = 2 * time.Second
+	busyRequests = 3
+	// busyReportTime is the time within which busy nodes learn of each other.
+	busyReportTime = 3 * time.Second
 )
 
-// traffic tells whether callers use this node.
+// traffic tracks whether this node is busy, that is, whether callers use it.
 type traffic struct {
-	mu     sync.Mutex
-	recent [busyFrom]time.Time // of the last requests, in a ring
-	next   int
-	since  time.Time // callers have used it since then, if they do
+	mu        sync.Mutex
+	recent    [busyRequests]time.Time // times of the last requests, a ring buffer
+	next      int
+	busySince time.Time // start of the busy period, if the node is busy
 }
 
-// add notes a request and reports whether the node was idle until then and is not any more.
+// add records a request and reports whether it ends the node's idle period.
 func (t *traffic) add(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was := t.idleNow(now)
+	wasIdle := t.idleLocked(now)
 	t.recent[t.next] = now
-	t.next = (t.next + 1) % busyFrom
-	if was {
-		t.since = now
+	t.next = (t.next + 1) % busyRequests
+	if wasIdle {
+		t.busySince = now
 	}
-	return was && !t.idleNow(now)
+	return wasIdle && !t.idleLocked(now)
 }
 
-// settled reports whether callers have used this node for so long that the others know.
+// settled reports whether this node has been busy for long enough for the other nodes to know.
 func (t *traffic) settled(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.idleNow(now) && now.Sub(t.since) >= knownWithin
+	return !t.idleLocked(now) && now.Sub(t.busySince) >= busyReportTime
 }
 
-// idle reports whether it has had fewer requests lately than a node that callers use.
+// idle reports whether the node has received fewer than busyRequests requests within busyWindow.
 func (t *traffic) idle(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.idleNow(now)
+	return t.idleLocked(now)
 }
 
-// idleNow is idle with the lock held: the oldest of the ring says whether all of it is recent.
-func (t *traffic) idleNow(now time.Time) bool { return now.Sub(t.recent[t.next]) > busyWindow }
+// idleLocked is idle with t.mu held. All requests in the ring are recent if the oldest is.
+func (t *traffic) idleLocked(now time.Time) bool { return now.Sub(t.recent[t.next]) > busyWindow }
--- a/internal/server/transport.go
+++ b/internal/server/transport.go
@@ -7,14 +7,14 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-// Transport is what a node exchanges with the others over.
+// Transport is what a node communicates with other nodes over.
 type Transport struct {
 	Datagrams gossip.Conn
-	Calls     net.Listener // takes the calls of other nodes
+	Calls     net.Listener // accepts the calls of other nodes
 	Dial      gossip.Dial  // connects to other nodes' listeners
 }
 
-// listenToNodes opens the sockets for other nodes.
+// listenToNodes opens the TCP and UDP sockets for other nodes.
 func listenToNodes(s *settings.Gateway) (Transport, error) {
 	calls, err := net.Listen("tcp", s.PeerAddress)
 	if err != nil {
