--- a/internal/follow/proof.go
+++ b/internal/follow/proof.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// proof says as of when this node's copy of the store is certainly current.
+// proof records as of when this node's copy of the store is certainly current.
 type proof struct {
 	mu       sync.Mutex
 	prefixes []string
@@ -33,22 +33,23 @@
 	}
 }
 
-// of returns the instant for one prefix.
-func (p *proof) of(prefix string) time.Time {
+// current returns the time as of which the copy of one prefix is certainly current.
+func (p *proof) current(prefix string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.later(p.direct[prefix])
+	return p.newest(p.direct[prefix])
 }
 
-func (p *proof) later(direct time.Time) time.Time {
+func (p *proof) newest(direct time.Time) time.Time {
 	if direct.After(p.relayed) {
 		return direct
 	}
 	return p.relayed
 }
 
-// whole returns the instant for all prefixes, and watching if the store itself gave it.
-func (p *proof) whole() (at time.Time, watching bool) {
+// currentAll returns the time as of which the copy of all prefixes is certainly current, and watching if it was obtained from
+// the store itself.
+func (p *proof) currentAll() (at time.Time, watching bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var oldest time.Time
@@ -57,5 +58,5 @@
 			oldest = d
 		}
 	}
-	return p.later(oldest), !oldest.IsZero() && !oldest.Before(p.relayed)
+	return p.newest(oldest), !oldest.IsZero() && !oldest.Before(p.relayed)
 }
--- a/internal/follow/pull.go
+++ b/internal/follow/pull.go
@@ -11,29 +11,30 @@
 	"moorrun.dev/moorrun/internal/keys"
 )
 
-// pulled is how far this node has another one's copy.
-type pulled struct {
+// pullProgress is the sequence up to which this node has pulled another node's copy.
+type pullProgress struct {
 	sequence uint64
-	routing  bool // only what is needed for routing
+	routing  bool // only objects needed for routing have been pulled
 }
 
-// Full reports whether the copy holds all endpoints. That of a node that is neither a relay nor watches the store holds those
-// only that take requests: heads of open groups and endpoints that serve alone. At 986 nodes and 3,064 endpoints that is a
-// sixth of the entries, and none of the changes that endpoints go through until they serve.
+// Full reports whether the copy holds all endpoints. The copy of a node that is neither a relay nor watches the store holds only
+// the endpoints that take requests: heads of open groups and endpoints that serve alone. With 986 nodes and 3,064 endpoints that
+// is a sixth of the entries, and none of the changes that endpoints go through before they serve.
 func (f *Follower) Full() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.full
 }
 
-// take takes in a beat: its proof if this node has what it is of, which is fetched before if need be.
-func (f *Follower) take(ctx context.Context, p *gossip.Peer) {
-	at, _ := f.proof.whole()
-	source := p.Watching || p.Upstream
-	if !p.ProofAt.After(at) && !source {
+// applyBeat processes a heartbeat. It accepts the heartbeat's proof if this node has the state that it proves, which it pulls
+// first if necessary.
+func (f *Follower) applyBeat(ctx context.Context, p *gossip.Peer) {
+	at, _ := f.proof.currentAll()
+	isSource := p.Watching || p.Upstream
+	if !p.ProofAt.After(at) && !isSource {
 		return
 	}
-	wantsFull := f.KeepsAll() || f.watches()
+	wantsFull := f.KeepsAll() || f.isWatching()
 	routing := !wantsFull || !p.Full
 	wanted := p.Sequence
 	if routing && p.Routing > 0 {
@@ -43,13 +44,13 @@
 	have, known := f.pulled[p.Incarnation]
 	f.mu.Unlock()
 	if have.routing != routing {
-		have, known = pulled{routing: routing}, false
+		have, known = pullProgress{routing: routing}, false
 	}
 	if known && have.sequence >= wanted {
 		f.proof.fromPeer(p.ProofAt)
 		return
 	}
-	if !source && p.ProofAt.Sub(at) < staleMargin {
+	if !isSource && p.ProofAt.Sub(at) < minProofGain {
 		return
 	}
 	if routing {
@@ -65,34 +66,36 @@
 	f.proof.fromPeer(p.ProofAt)
 }
 
-// setFull notes whether the copy holds all endpoints, unless this node watches them and has them all from the store.
+// setFull records whether the copy holds all endpoints, unless this node watches them and has them all from the store.
 func (f *Follower) setFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full || f.watching && f.full
 }
 
-// watches reports whether this node watches the endpoints in the store.
-func (f *Follower) watches() bool {
+// isWatching reports whether this node itself watches the endpoints in the store.
+func (f *Follower) isWatching() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.watching
 }
 
-// watch notes that this node begins to watch the endpoints in the store, with a list of all, or has ended.
-func (f *Follower) watch(watching bool) {
+// setWatching records that this node has started to watch the endpoints in the store, beginning with a list of all, or has
+// stopped.
+func (f *Follower) setWatching(watching bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.watching = watching
 	if !watching {
-		f.listed = listed{}
+		f.lastListing = storeListing{}
 	}
 }
 
-// reconcile drops endpoints that another node does not have any more. While this one watches it knows better. The other node may
-// only not have heard of one yet: what else has been fetched is fetched anew then, because whoever told of that endpoint would
-// not tell again of what has not changed, and a head that was dropped so was never listed again.
-func (f *Follower) reconcile(incarnation string, all reconciliation) {
+// dropMissing drops endpoints that another node no longer has, unless this node watches the store itself, which is
+// authoritative. The other node may merely not have received an endpoint yet, so the copies of all other nodes are then pulled
+// again from the start: the node that sent the endpoint would not send it again until it changes, and the head of a group that
+// had been dropped for that reason was never listed again.
+func (f *Follower) dropMissing(incarnation string, all reconciliation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.watching {
@@ -102,14 +105,14 @@
 	if len(forgotten) == 0 {
 		return
 	}
-	_ = level.Info(f.logger).Log("msg", "endpoints forgotten", "by_word_of", incarnation, "keys", len(forgotten), "first", forgotten[0])
-	maps.DeleteFunc(f.pulled, func(other string, _ pulled) bool { return other != incarnation })
+	_ = level.Info(f.logger).Log("msg", "endpoints dropped that another node no longer has", "by_word_of", incarnation, "keys", len(forgotten), "first", forgotten[0])
+	maps.DeleteFunc(f.pulled, func(other string, _ pullProgress) bool { return other != incarnation })
 }
 
-// pull fetches from a node, reply by reply, what this one lacks of what it had when it sent its beat, and reports whether
-// that is complete. What a reply has brought is kept though a later one fails. With reconcile set the replies hold everything
-// that the node has, and endpoints are dropped that are not in it.
-func (f *Follower) pull(ctx context.Context, p *gossip.Peer, have pulled, wanted uint64, reconcile bool) bool {
+// pull fetches, reply by reply, the changes that another node had when it sent its heartbeat and this node lacks, and reports
+// whether it has got all of them. The content of a reply is kept even if a later one fails. With reconcile set, the replies
+// hold everything that the other node has, and endpoints that they do not contain are dropped.
+func (f *Follower) pull(ctx context.Context, p *gossip.Peer, have pullProgress, wanted uint64, reconcile bool) bool {
 	var all reconciliation
 	for {
 		sequence, objects, err := f.pullOnce(ctx, p, have)
@@ -121,29 +124,30 @@
 			all.add(objects)
 		}
 		f.mu.Lock()
-		f.pulled[p.Incarnation] = pulled{sequence, have.routing}
+		f.pulled[p.Incarnation] = pullProgress{sequence, have.routing}
 		f.mu.Unlock()
 		if sequence < wanted && sequence > have.sequence {
 			have.sequence = sequence
 			continue
 		}
 		if sequence >= wanted && reconcile {
-			f.reconcile(p.Incarnation, all)
+			f.dropMissing(p.Incarnation, all)
 		}
 		return sequence >= wanted
 	}
 }
 
-func (f *Follower) pullOnce(ctx context.Context, p *gossip.Peer, have pulled) (uint64, []infra.Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, pullWait)
+func (f *Follower) pullOnce(ctx context.Context, p *gossip.Peer, have pullProgress) (uint64, []infra.Object, error) {
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	return f.puller.Pull(ctx, p.PeerAddress, p.Incarnation, have.sequence, have.routing)
 }
 
-// reconciliation finds what another node does not have any more, which it cannot tell if it never had it or has started since.
+// reconciliation finds objects that another node no longer has. The other node cannot report their removal if it never had them
+// or has restarted since.
 type reconciliation struct {
 	seen   map[string]bool
-	newest int64 // version
+	newest int64 // highest version of the other node's objects
 }
 
 func (r *reconciliation) add(objects []infra.Object) {
@@ -156,5 +160,5 @@
 	}
 }
 
-// lacks reports whether the other node does not have an object though it has later ones.
+// lacks reports whether the other node does not have an object although it has newer ones.
 func (r *reconciliation) lacks(o infra.Object) bool { return !r.seen[o.Key] && o.Version < r.newest }
--- a/internal/follow/pull_test.go
+++ b/internal/follow/pull_test.go
@@ -13,14 +13,14 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-// copies gives all endpoints, or those that are needed for routing.
-type copies struct {
-	sequence          uint64
-	everything, heads []infra.Object
-	routing           []bool // what was asked for
+// scriptedPeer answers pulls with all endpoints, or with the heads if only those needed for routing are requested.
+type scriptedPeer struct {
+	sequence   uint64
+	all, heads []infra.Object
+	routing    []bool // the routing argument of each pull
 }
 
-func (c *copies) Pull(_ context.Context, _, _ string, since uint64, routing bool) (uint64, []infra.Object, error) {
+func (c *scriptedPeer) Pull(_ context.Context, _, _ string, since uint64, routing bool) (uint64, []infra.Object, error) {
 	c.routing = append(c.routing, routing)
 	switch {
 	case since >= c.sequence:
@@ -28,105 +28,105 @@
 	case routing:
 		return c.sequence, c.heads, nil
 	}
-	return c.sequence, c.everything, nil
+	return c.sequence, c.all, nil
 }
 
-func entries(names ...string) []infra.Object {
+func mirroredObjects(names ...string) []infra.Object {
 	var out []infra.Object
 	for i, name := range names {
-		out = append(out, ordered(object(name, int64(i+1))))
+		out = append(out, withMirrorVersion(object(name, int64(i+1))))
 	}
 	return out
 }
 
-func (f *Follower) has() int { return len(f.Mirror.List(keys.Endpoints)) }
+func (f *Follower) endpointCount() int { return len(f.Mirror.List(keys.Endpoints)) }
 
-// full is a relay that keeps everything.
-func full(incarnation string, sequence uint64, proof time.Time) *gossip.Peer {
-	p := watcher(sequence, proof)
+// fullRelay returns a relay that keeps all endpoints.
+func fullRelay(incarnation string, sequence uint64, proof time.Time) *gossip.Peer {
+	p := watchingLeader(sequence, proof)
 	p.Incarnation, p.Full, p.Routing = incarnation, true, sequence
 	return p
 }
 
 func TestNodeThatIsNoRelayFetchesWhatItNeedsForRouting(t *testing.T) {
-	c := &copies{sequence: 3, everything: entries("member", "free", "head"), heads: entries("member", "free", "head")[2:]}
+	c := &scriptedPeer{sequence: 3, all: mirroredObjects("member", "free", "head"), heads: mirroredObjects("member", "free", "head")[2:]}
 	f := newTestFollower(c)
 	f.KeepsAll = func() bool { return false }
 	now := time.Now()
-	f.take(context.Background(), full("x", 3, now))
+	f.applyBeat(context.Background(), fullRelay("x", 3, now))
 	qt.Check(t, c.routing, qt.DeepEquals, []bool{true})
-	qt.Check(t, f.has(), qt.Equals, 1)
+	qt.Check(t, f.endpointCount(), qt.Equals, 1)
 	qt.Check(t, f.Full(), qt.IsFalse)
-	qt.Check(t, f.Current(keys.Endpoints), qt.Equals, now, qt.Commentf("what it has of it is current"))
+	qt.Check(t, f.Current(keys.Endpoints), qt.Equals, now, qt.Commentf("the endpoints that it holds are current"))
 
-	ahead := full("x", 9, now.Add(time.Second))
+	ahead := fullRelay("x", 9, now.Add(time.Second))
 	ahead.Routing = 3
-	f.take(context.Background(), ahead)
-	qt.Check(t, c.routing, qt.HasLen, 1, qt.Commentf("nothing that it needs has changed"))
+	f.applyBeat(context.Background(), ahead)
+	qt.Check(t, c.routing, qt.HasLen, 1, qt.Commentf("nothing needed for routing has changed"))
 	qt.Check(t, f.Current(keys.Endpoints), qt.Equals, ahead.ProofAt)
 
-	f.KeepsAll = func() bool { return true } // it has become a relay
-	f.take(context.Background(), full("x", 3, now.Add(2*time.Second)))
-	qt.Check(t, f.has(), qt.Equals, 3)
+	f.KeepsAll = func() bool { return true } // the node has become a relay
+	f.applyBeat(context.Background(), fullRelay("x", 3, now.Add(2*time.Second)))
+	qt.Check(t, f.endpointCount(), qt.Equals, 3)
 	qt.Check(t, f.Full(), qt.IsTrue)
 
-	f.KeepsAll = func() bool { return false } // and is none any more
-	f.take(context.Background(), full("y", 3, now.Add(3*time.Second)))
-	qt.Check(t, f.has(), qt.Equals, 1, qt.Commentf("what nobody keeps current any more is dropped"))
+	f.KeepsAll = func() bool { return false } // the node is no longer a relay
+	f.applyBeat(context.Background(), fullRelay("y", 3, now.Add(3*time.Second)))
+	qt.Check(t, f.endpointCount(), qt.Equals, 1, qt.Commentf("endpoints that are no longer kept current are dropped"))
 	qt.Check(t, f.Full(), qt.IsFalse)
 }
 
-// A relay that has started since an endpoint was removed does not know that it ever was.
-func TestEndpointThatTheNextRelayNeverKnewIsDropped(t *testing.T) {
-	c := &copies{sequence: 2, everything: entries("gone", "head")}
+// A relay that has started after the removal of an endpoint cannot report the removal.
+func TestEndpointThatANewRelayNeverHadIsDropped(t *testing.T) {
+	c := &scriptedPeer{sequence: 2, all: mirroredObjects("gone", "head")}
 	f := newTestFollower(c)
 	now := time.Now()
-	f.take(context.Background(), full("x", 2, now))
-	qt.Check(t, f.has(), qt.Equals, 2)
-	c.everything = entries("", "", "head")[2:]
-	f.take(context.Background(), full("y", 2, now.Add(time.Second)))
-	qt.Check(t, f.has(), qt.Equals, 1)
+	f.applyBeat(context.Background(), fullRelay("x", 2, now))
+	qt.Check(t, f.endpointCount(), qt.Equals, 2)
+	c.all = mirroredObjects("", "", "head")[2:]
+	f.applyBeat(context.Background(), fullRelay("y", 2, now.Add(time.Second)))
+	qt.Check(t, f.endpointCount(), qt.Equals, 1)
 }
 
-// One that watches the store has everything from there and drops nothing by what others have.
-func TestWatcherKeepsWhatTheStoreHasTold(t *testing.T) {
-	c := &copies{sequence: 3, heads: entries("", "", "head")[2:]}
+// A node that watches the store does not drop endpoints because another node lacks them.
+func TestWatcherKeepsWhatTheStoreHasListed(t *testing.T) {
+	c := &scriptedPeer{sequence: 3, heads: mirroredObjects("", "", "head")[2:]}
 	f := newTestFollower(c)
 	f.KeepsAll = func() bool { return false }
-	f.watch(true)
-	f.Mirror.Put(entries("member", "free", "head")...)
+	f.setWatching(true)
+	f.Mirror.Put(mirroredObjects("member", "free", "head")...)
 	f.proved(keys.Endpoints, time.Now())
-	other := full("x", 3, time.Now().Add(time.Second))
+	other := fullRelay("x", 3, time.Now().Add(time.Second))
 	other.Full = false
-	f.take(context.Background(), other)
-	qt.Check(t, f.has(), qt.Equals, 3)
+	f.applyBeat(context.Background(), other)
+	qt.Check(t, f.endpointCount(), qt.Equals, 3)
 	qt.Check(t, f.Full(), qt.IsTrue)
 	at, _ := f.Listed()
 	qt.Check(t, at.IsZero(), qt.IsFalse)
-	f.watch(false)
+	f.setWatching(false)
 	at, _ = f.Listed()
-	qt.Check(t, at.IsZero(), qt.IsTrue, qt.Commentf("others may now drop what it had"))
+	qt.Check(t, at.IsZero(), qt.IsTrue, qt.Commentf("from now on endpoints may be dropped because another node lacks them"))
 }
 
-// A node that has not heard yet of what another has told does not make that be lost for good: what is dropped by its word is
-// fetched again from the other, though that has had no change since.
+// Guards against losing an endpoint for good: it is dropped because another node has not received it yet, and then must be
+// fetched again from the node that has it, although nothing has changed there.
 func TestEndpointThatAnotherNodeHasNotHeardOfYetIsFetchedAgain(t *testing.T) {
-	c := &copies{sequence: 2, everything: entries("head", "other")}
+	c := &scriptedPeer{sequence: 2, all: mirroredObjects("head", "other")}
 	f := newTestFollower(c)
 	now := time.Now()
-	f.take(context.Background(), full("x", 2, now))
-	c.everything = entries("", "other")[1:]
-	f.take(context.Background(), full("late", 2, now.Add(time.Second)))
-	qt.Check(t, f.has(), qt.Equals, 1)
-	c.everything = entries("head", "other")
-	f.take(context.Background(), full("x", 2, now.Add(2*time.Second)))
-	qt.Check(t, f.has(), qt.Equals, 2)
+	f.applyBeat(context.Background(), fullRelay("x", 2, now))
+	c.all = mirroredObjects("", "other")[1:]
+	f.applyBeat(context.Background(), fullRelay("late", 2, now.Add(time.Second)))
+	qt.Check(t, f.endpointCount(), qt.Equals, 1)
+	c.all = mirroredObjects("head", "other")
+	f.applyBeat(context.Background(), fullRelay("x", 2, now.Add(2*time.Second)))
+	qt.Check(t, f.endpointCount(), qt.Equals, 2)
 }
 
-// another is a node with a copy of its own.
-type another struct{ *mirror.Mirror }
+// mirrorPeer is another node with a mirror of its own.
+type mirrorPeer struct{ *mirror.Mirror }
 
-func (a another) Pull(_ context.Context, _, _ string, since uint64, routing bool) (uint64, []infra.Object, error) {
+func (a mirrorPeer) Pull(_ context.Context, _, _ string, since uint64, routing bool) (uint64, []infra.Object, error) {
 	const bytes = 1 << 20
 	page := a.Page
 	if routing {
@@ -136,30 +136,30 @@
 	return reached, objects, nil
 }
 
-// put lists an object and says whether it is needed for routing.
-func (a another) put(o infra.Object, routing bool) {
+// put stores an object and marks whether it is needed for routing.
+func (a mirrorPeer) put(o infra.Object, routing bool) {
 	a.Put(o)
 	a.Mark(o, routing)
 }
 
-// Guards against a node that has become a relay not having endpoints that it was told, while it only routed, not to need: it
-// took no replica group for whole then and refused its requests.
-func TestNodeThatBecomesARelayHasAgainWhatItDidNotNeedForRouting(t *testing.T) {
-	a := another{mirror.New()}
-	member, head := ordered(object("member", 1)), ordered(object("head", 2))
-	a.put(member, true) // it served alone, or so it was taken
+// Guards against a node that becomes a relay missing the endpoints that were dropped as not needed while it only routed. It then
+// considered no replica group complete and refused its requests.
+func TestNodeThatBecomesARelayFetchesWhatItDidNotNeedForRouting(t *testing.T) {
+	a := mirrorPeer{mirror.New()}
+	member, head := withMirrorVersion(object("member", 1)), withMirrorVersion(object("head", 2))
+	a.put(member, true) // it served alone, or was assumed to
 	f := newTestFollower(a)
 	f.KeepsAll = func() bool { return false }
 	now := time.Now()
-	f.take(context.Background(), full("x", a.Sequence(), now))
-	qt.Check(t, f.has(), qt.Equals, 1)
+	f.applyBeat(context.Background(), fullRelay("x", a.Sequence(), now))
+	qt.Check(t, f.endpointCount(), qt.Equals, 1)
 	member.Version = 6
 	a.put(member, false)
 	a.put(head, true)
-	f.take(context.Background(), full("x", a.Sequence(), now.Add(time.Second)))
-	qt.Check(t, f.has(), qt.Equals, 1, qt.Commentf("the head is enough"))
+	f.applyBeat(context.Background(), fullRelay("x", a.Sequence(), now.Add(time.Second)))
+	qt.Check(t, f.endpointCount(), qt.Equals, 1, qt.Commentf("only the head is needed for routing"))
 	f.KeepsAll = func() bool { return true }
-	f.take(context.Background(), full("x", a.Sequence(), now.Add(2*time.Second)))
+	f.applyBeat(context.Background(), fullRelay("x", a.Sequence(), now.Add(2*time.Second)))
 	qt.Check(t, f.Full(), qt.IsTrue)
-	qt.Check(t, f.has(), qt.Equals, 2)
+	qt.Check(t, f.endpointCount(), qt.Equals, 2)
 }
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -15,54 +15,55 @@
 )
 
 const (
-	firstRetry = 100 * time.Millisecond
-	// lastRetry caps the wait between tries: every bound on a node out of touch is a few seconds.
-	lastRetry = 700 * time.Millisecond
-	// backWithin is how soon nodes ask a store that has answered others again after it answered nobody.
-	backWithin = time.Second
+	minRetryDelay = 100 * time.Millisecond
+	// maxRetryDelay caps the backoff between attempts: all time limits for a node that is cut off are a few seconds.
+	maxRetryDelay = 700 * time.Millisecond
+	// recoverySpread is the time within which nodes query a store that answers other nodes again after an outage.
+	recoverySpread = time.Second
 )
 
-// source copies the objects below one prefix from the store into the mirror, while it is wanted.
+// source copies the objects below one prefix from the store into the mirror while wanted returns true.
 type source struct {
-	prefix  string
-	objects infra.ObjectStore
-	mirror  *mirror.Mirror
-	wait    time.Duration // of one watch
-	gather  time.Duration // pause after a change, so that changes in a row cost one call
-	proved  func(prefix string, at time.Time)
-	failed  func(prefix string, err error)
-	wanted  func(watching bool) bool // watching says that this source has listed everything and watches
-	// turn returns after how long a node that has drawn that number, 0 to 1, asks a store again that does not answer.
-	turn     func(draw float64) time.Duration
-	answered func() time.Time // the store has last answered this node
-	insists  func() bool      // an unanswered question is asked again though what it asks for is not wanted any more
-	// probes says that this source is the one that does so; the others of the node wait for its answer. Asking for each prefix
-	// would triple the calls of a relay that the store refuses, and tell it nothing more.
+	prefix     string
+	objects    infra.ObjectStore
+	mirror     *mirror.Mirror
+	wait       time.Duration // timeout of one watch
+	batchDelay time.Duration // pause after a change, so that one call fetches several changes
+	proved     func(prefix string, at time.Time)
+	failed     func(prefix string, err error)
+	wanted     func(watching bool) bool // watching says that this source has listed all objects and watches for changes
+	// queryDelay returns how long a node waits before it queries an unavailable store again, for a random number from 0 to 1.
+	queryDelay   func(jitter float64) time.Duration
+	lastAnswered func() time.Time // when the store last answered this node
+	mustProbe    func() bool      // a failed query is repeated even if its result is no longer wanted
+	// probes says that this source is the one of the node's sources that repeats failed queries for mustProbe; the others wait
+	// until it is answered. Querying each prefix would triple the calls of a relay that the store refuses, and give it no more
+	// information.
 	probes bool
-	// watching is told when asking begins and when it has ended; nil if nobody wants to know.
+	// watching, if not nil, is called before each query with true, and with false while the source does not query the store.
 	watching func(bool)
-	// lapses, if set, says that entries may run out while the store is away, and that those of endpoints that live
-	// come back soon after. age tells how old the copy is.
-	lapses bool
-	age    func(now time.Time) time.Duration
-	absent absentees
+	// entriesExpire says that entries may expire while the store is unavailable, and that those of live endpoints reappear
+	// soon after. proofAge returns the age of the copy.
+	entriesExpire bool
+	proofAge      func(now time.Time) time.Duration
+	held          heldRemovals
 }
 
-// run watches until ctx ends.
+// run lists and watches the prefix until ctx ends.
 func (s *source) run(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = firstRetry
-	retry.MaxInterval = lastRetry
+	retry.InitialInterval = minRetryDelay
+	retry.MaxInterval = maxRetryDelay
 	version := int64(0)
-	failing := false // the last question was not answered
+	failing := false // the last query failed
 	for ctx.Err() == nil {
-		asks := s.wanted(version > 0) || failing && s.insists()
+		active := s.wanted(version > 0) || failing && s.mustProbe()
 		if s.watching != nil {
-			s.watching(asks)
+			s.watching(active)
 		}
-		if !asks {
+		if !active {
 			version, failing = 0, false
-			loop.Sleep(ctx, firstRetry)
+			loop.Sleep(ctx, minRetryDelay)
 			continue
 		}
 		sent := clock.Now()
@@ -76,56 +77,57 @@
 				s.failed(s.prefix, err)
 			}
 			failing = true
-			s.rest(ctx, version > 0, retry.NextBackOff())
+			s.waitToRetry(ctx, version > 0, retry.NextBackOff())
 			continue
 		}
 		failing = false
 		retry.Reset()
 		version = next
 		s.proved(s.prefix, sent)
-		s.mirror.Put(s.absent.due(clock.Now())...)
+		s.mirror.Put(s.held.due(clock.Now())...)
 		if changed {
-			loop.Sleep(ctx, s.gather)
+			loop.Sleep(ctx, s.batchDelay)
 		}
 	}
 	return nil
 }
 
-// rest waits after a failure: for least, and then until it is this node's turn to ask, until there is nothing to ask any
-// more, or until another of its sources has been answered. If nobody had been answered for a while and others are answered now, the turn comes within a second: a
-// node that does not know whether the store answers it does not lead.
-func (s *source) rest(ctx context.Context, watching bool, least time.Duration) {
+// waitToRetry waits after a failed query: at least for minimum, and then until this node's query delay has passed, the query is
+// no longer needed, or another source of this node has been answered. If no node had been answered for some time and others
+// now are, a node that must probe waits at most recoverySpread, one second: a node that does not know whether the store answers
+// it does not lead.
+func (s *source) waitToRetry(ctx context.Context, watching bool, minimum time.Duration) {
 	failed := clock.Now()
-	draw := rand.Float64() //nolint:gosec // spreads questions
-	forAll := s.age(failed) > patience
-	var back time.Time // others have been answered since
-	loop.Sleep(ctx, least)
-	for ctx.Err() == nil && !s.answered().After(failed) {
-		if !s.insists() && !s.wanted(watching) {
+	jitter := rand.Float64() //nolint:gosec // spreads queries over time, not security relevant
+	outageForAll := s.proofAge(failed) > relayMaxProofAge
+	var recoveredAt time.Time // when this node first saw that the store answers others again
+	loop.Sleep(ctx, minimum)
+	for ctx.Err() == nil && !s.lastAnswered().After(failed) {
+		if !s.mustProbe() && !s.wanted(watching) {
 			return
 		}
 		now := clock.Now()
-		if back.IsZero() && s.age(now) < now.Sub(failed) {
-			back = now
+		if recoveredAt.IsZero() && s.proofAge(now) < now.Sub(failed) {
+			recoveredAt = now
 		}
-		due := now.Sub(failed) >= s.turn(draw) ||
-			forAll && s.insists() && !back.IsZero() && now.Sub(back) >= time.Duration(draw*float64(backWithin))
+		due := now.Sub(failed) >= s.queryDelay(jitter) ||
+			outageForAll && s.mustProbe() && !recoveredAt.IsZero() && now.Sub(recoveredAt) >= time.Duration(jitter*float64(recoverySpread))
 		if due && (s.probes || s.wanted(watching)) {
 			return
 		}
-		loop.Sleep(ctx, firstRetry)
+		loop.Sleep(ctx, minRetryDelay)
 	}
 }
 
-// next lists or watches once and returns the store version reached and whether anything came.
+// next lists or watches once, and returns the store version reached and whether a watch returned changes.
 func (s *source) next(ctx context.Context, version int64) (int64, bool, error) {
-	away := s.lapses && s.age(clock.Now()) > awayFor
+	outage := s.entriesExpire && s.proofAge(clock.Now()) > outageAge
 	if version > 0 {
 		l, err := s.objects.Watch(ctx, s.prefix, version, s.wait)
 		if err != nil {
 			return version, false, err
 		}
-		s.returned(away)
+		s.noteAnswer(outage)
 		s.put(l.Objects)
 		return max(version, l.Version), len(l.Objects) > 0, nil
 	}
@@ -133,7 +135,7 @@
 	if err != nil {
 		return 0, false, err
 	}
-	s.returned(away)
+	s.noteAnswer(outage)
 	listed := make(map[string]bool, len(l.Objects))
 	for _, o := range l.Objects {
 		listed[o.Key] = true
@@ -147,28 +149,28 @@
 	return l.Version, false, nil
 }
 
-// returned notes that the store has answered, after it was away or not.
-func (s *source) returned(away bool) {
-	if away {
-		s.absent.wait(clock.Now())
+// noteAnswer records that the store has answered; outage says that it was unavailable before.
+func (s *source) noteAnswer(outage bool) {
+	if outage {
+		s.held.start(clock.Now())
 	}
 }
 
-// put takes objects into the copy. For some time after the store was away, removals are held back.
+// put stores objects in the mirror. For some time after an outage of the store, removals are held back.
 func (s *source) put(objects []infra.Object) {
 	now := clock.Now()
 	taken := make([]infra.Object, 0, len(objects))
 	for _, o := range objects {
-		if o = ordered(o); !s.absent.holds(o, now) {
+		if o = withMirrorVersion(o); !s.held.hold(o, now) {
 			taken = append(taken, o)
 		}
 	}
 	s.mirror.Put(taken...)
 }
 
-// ordered gives an object a version at which its removal comes after its last change, though the store may tell
-// both with one revision.
-func ordered(o infra.Object) infra.Object {
+// withMirrorVersion returns the object with the version that it has in the mirror: twice the store's revision, plus one for a
+// removal, because the store may report an object's last change and its removal with the same revision.
+func withMirrorVersion(o infra.Object) infra.Object {
 	o.Version *= 2
 	if o.Deleted {
 		o.Version++
--- a/internal/follow/suspend_test.go
+++ b/internal/follow/suspend_test.go
@@ -11,27 +11,27 @@
 	"moorrun.dev/moorrun/internal/freshness"
 )
 
-// A credential counts while the copy of the configuration is proved current. A machine that was suspended for six seconds
-// has a proof that is six seconds older, though its monotonic clock stood still.
-func TestProofGrowsOldWhileTheMachineIsSuspended(t *testing.T) {
-	var asleep atomic.Int64
-	defer clock.Pretend(func() time.Duration { return time.Duration(asleep.Load()) })()
+// A credential is valid only while the copy of the configuration is proved current. On a VM that was suspended for six seconds
+// the proof is six seconds older, although the monotonic clock did not advance.
+func TestProofAgesWhileTheVMIsSuspended(t *testing.T) {
+	var suspended atomic.Int64
+	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
 	p := newProof("a/", "b/")
 	p.fromStore("a/", clock.Now())
 	p.fromPeer(clock.Now())
-	asleep.Add(int64(6 * time.Second))
-	qt.Check(t, clock.Since(p.of("a/")) >= 6*time.Second, qt.IsTrue)
-	at, _ := p.whole()
+	suspended.Add(int64(6 * time.Second))
+	qt.Check(t, clock.Since(p.current("a/")) >= 6*time.Second, qt.IsTrue)
+	at, _ := p.currentAll()
 	qt.Check(t, clock.Since(at) >= 6*time.Second, qt.IsTrue)
 }
 
-// What another node sent just before the suspension lies in the socket's buffer until the machine wakes.
-func TestWhatWasSentBeforeTheSuspensionIsNotTakenForFresh(t *testing.T) {
-	var asleep atomic.Int64
-	defer clock.Pretend(func() time.Duration { return time.Duration(asleep.Load()) })()
+// A message that another node sent just before the suspension stays in the socket's buffer until the VM resumes.
+func TestMessageSentBeforeTheSuspensionIsNotTakenForFresh(t *testing.T) {
+	var suspended atomic.Int64
+	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
 	var c freshness.Clock
 	tick := c.Next(clock.Now())
-	asleep.Add(int64(6 * time.Second))
+	suspended.Add(int64(6 * time.Second))
 	asOf, ok := c.AsOf(tick)
 	qt.Check(t, ok, qt.IsTrue)
 	qt.Check(t, clock.Since(asOf) >= 6*time.Second, qt.IsTrue)
--- a/internal/server/changes.go
+++ b/internal/server/changes.go
@@ -76,7 +76,7 @@
 	}
 	// Nodes that pull from this one learn at once that there are changes. If this node does not watch the store itself, the
 	// others get the changes from the same source as it does.
-	if _, watching := n.follower.Whole(); watching {
+	if _, watching := n.follower.CurrentAll(); watching {
 		n.gossip.Kick()
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -126,11 +126,11 @@
 	n.setUpQuarantine()
 	leads := func() bool { return n.controller.Leads(clock.Now()) > 0 }
 	n.follower = follow.NewFollower(n.platform.Objects, n.peerCaller, s.VM, leads, n.gossip.Live, logger)
-	n.follower.KeepsAll, n.follower.Others = n.keepsAllEndpoints, n.gossip.Known
+	n.follower.KeepsAll, n.follower.Others = n.keepsAll, n.gossip.Known
 	n.follower.Beat = s.EndpointBeat()
-	n.follower.StartPatience, n.follower.Relaying = n.startDelay, n.actsAsRelay
+	n.follower.StartDelay, n.follower.Relaying = n.startDelay, n.actsAsRelay
 	if s.Evacuations {
-		n.follower.Also(keys.Evacuations)
+		n.follower.AddPrefixes(keys.Evacuations)
 	}
 	n.gossip.OnBeat = n.handleBeat
 	n.gossip.CapacityOfRequest = capacityPerCore * coresPerRequest / targetCPUFraction
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -35,7 +35,7 @@
 	}
 	s.LeaderEpoch = n.controller.Leads(now)
 	s.Uptime = n.election.uptime(now)
-	s.ProofAt, s.Watching = n.follower.Whole() // read before the sequences, which then cover at least the state that it proves
+	s.ProofAt, s.Watching = n.follower.CurrentAll() // read before the sequences, which then cover at least the state that it proves
 	s.Sequence, s.Routing, s.Full = n.follower.Mirror.Sequence(), n.follower.Mirror.RoutingSequence(), n.follower.Full()
 	if s.LeaderEpoch > 0 {
 		s.Retiring = n.controller.Retiring()
@@ -88,7 +88,7 @@
 
 // handleBeat processes another node's heartbeat.
 func (n *Server) handleBeat(p *gossip.Peer) {
-	n.follower.Heard(p)
+	n.follower.EnqueueBeat(p)
 	switch {
 	case p.LeaderEpoch == 0:
 		n.keeper.GivenUp(p.VM)
