--- a/internal/server/fleet_profile.go
+++ b/internal/server/fleet_profile.go
@@ -36,13 +36,13 @@
 	for _, id := range registered {
 		largest = max(largest, id.Capacity)
 	}
-	first := slices.DeleteFunc(slices.Clone(registered), func(id gossip.Identity) bool { return id.Capacity < largest })
-	sooner := min(len(first), maxTurns)
+	largestNodes := slices.DeleteFunc(slices.Clone(registered), func(id gossip.Identity) bool { return id.Capacity < largest })
+	turnCount := min(len(largestNodes), maxTurns)
 	if self.Capacity < largest {
-		return &fleetProfile{cohort: all, hasLarger: true, turnsBefore: sooner}
+		return &fleetProfile{cohort: all, hasLarger: true, turnsBefore: turnCount}
 	}
-	c := &fleetProfile{cohort: estimateNodes(first), turnsBefore: sooner}
-	if rank := countBefore(self, first); listed && rank < maxTurns {
+	c := &fleetProfile{cohort: estimateNodes(largestNodes), turnsBefore: turnCount}
+	if rank := countBefore(self, largestNodes); listed && rank < maxTurns {
 		c.turnsBefore, c.hasTurn = rank, true
 	}
 	return c
--- a/internal/server/fleet_profile_test.go
+++ b/internal/server/fleet_profile_test.go
@@ -57,10 +57,10 @@
 func TestNodesThatQueryTheStoreAtAStartDoNotGrowWithTheFleet(t *testing.T) {
 	for _, nodes := range []int{300, 1000, 3000} {
 		got := countQueryingNodes(nodes, nodes/20, baseStartDelay+time.Second)
-		qt.Check(t, got >= 1 && got <= 10, qt.IsTrue, qt.Commentf("%d of %d", got, nodes))
+		qt.Check(t, got >= 1 && got <= 10, qt.IsTrue, qt.Commentf("%d of %d nodes query within 1 s", got, nodes))
 		allTurns := maxTurns*turnInterval + smallerNodeDelay + time.Second
 		got = countQueryingNodes(nodes, nodes/20, baseStartDelay+allTurns)
-		qt.Check(t, got > maxTurns && got <= int(10*allTurns.Seconds()), qt.IsTrue, qt.Commentf("%d of %d", got, nodes))
+		qt.Check(t, got > maxTurns && got <= int(10*allTurns.Seconds()), qt.IsTrue, qt.Commentf("%d of %d nodes query until the turns are over", got, nodes))
 	}
 	qt.Check(t, countQueryingNodes(9, 0, baseStartDelay+time.Second), qt.Equals, 9, qt.Commentf("a small fleet does not spread its queries"))
 }
@@ -69,7 +69,7 @@
 	small, large := profileSeenBy(999, 1000, 50), profileSeenBy(0, 1000, 50)
 	qt.Check(t, small.hasLarger, qt.IsTrue)
 	qt.Check(t, large.hasLarger, qt.IsFalse)
-	qt.Check(t, large.cohort < small.cohort/8, qt.IsTrue, qt.Commentf("%d and %d", large.cohort, small.cohort))
+	qt.Check(t, large.cohort < small.cohort/8, qt.IsTrue, qt.Commentf("cohorts of %d and %d nodes", large.cohort, small.cohort))
 }
 
 // Otherwise all large nodes of a starting fleet would read the lease before they have heard who leads.
--- a/internal/server/relay_tenure.go
+++ b/internal/server/relay_tenure.go
@@ -36,8 +36,6 @@
 	return n.gossip.Relaying() && n.fleetProfile.Load().confirmsRelay(len(n.gossip.Live(now)), now.Sub(n.started))
 }
 
-// keepsAllEndpoints reports whether this node keeps all endpoints although it does not watch the store. A relay may become
+// keepsAll reports whether this node keeps all endpoints although it does not watch the store. A relay may become
 // the next leader, and then knows which endpoints have disappeared recently.
-func (n *Server) keepsAllEndpoints() bool {
-	return n.relayTenure.update(n.gossip.Relaying(), clock.Now())
-}
+func (n *Server) keepsAll() bool { return n.relayTenure.update(n.gossip.Relaying(), clock.Now()) }
