--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,4 +1,4 @@
-// Package mirror keeps a node's copy of the watched objects of the platform's store.
+// Package mirror holds a node's copy of the watched objects of the platform's store.
 package mirror
 
 import (
@@ -13,20 +13,20 @@
 
 const shardCount = 16
 
-// Mirror holds the newest version seen of each object, whoever told it. It never goes back.
+// Mirror holds the newest version seen of each object, whatever its source. It never returns to an older version.
 //
-// Each change has a sequence of this mirror. Changes are kept in order, so that what came after a sequence is found without
-// looking at the rest: with 3,064 endpoints each look took a tenth of a millisecond, for each change and each node that
-// fetches it.
+// The mirror numbers its changes with a sequence and keeps them in that order, so that the changes after a sequence are found
+// without scanning the others: with 3,064 endpoints each scan took a tenth of a millisecond, for each change and each node
+// that fetches it.
 type Mirror struct {
 	shards [shardCount]shard
 
-	mu       sync.Mutex
-	sequence uint64
-	changes  list.List // of *entry, in order of sequence
-	routing  uint64    // the last change that nodes need which only route
-	unmarked int       // changes of which it is not known yet who needs them
-	changed  chan struct{}
+	mu          sync.Mutex
+	sequence    uint64
+	changes     list.List // of *entry, in order of sequence
+	lastRouting uint64    // sequence of the last change needed for routing
+	unmarked    int       // number of entries whose usage is not known yet
+	changed     chan struct{}
 }
 
 type shard struct {
@@ -34,22 +34,23 @@
 	entries map[string]*entry
 }
 
-// entry is the newest version of one object. It is not changed once it is listed, but for its use and its place.
+// entry is the newest version of one object. Once it is in the list of changes, only its list element and what Mark records
+// change.
 type entry struct {
-	object   infra.Object
-	sequence uint64
-	place    *list.Element
-	use      use
-	routed   bool // it or an earlier version was needed for routing
+	object      infra.Object
+	sequence    uint64
+	element     *list.Element
+	usage       usage
+	everRouting bool // this or an earlier version was needed for routing
 }
 
-// use says who needs an object.
-type use uint8
+// usage says which nodes need an object: all, for routing, or only those that form replica groups.
+type usage uint8
 
 const (
-	unknown use = iota
-	forRouting
-	forForming
+	usageUnknown usage = iota
+	usageRouting
+	usageFormation
 )
 
 // New returns an empty Mirror.
@@ -65,21 +66,21 @@
 	return &m.shards[xxhash.Sum64String(key)%shardCount]
 }
 
-// Put stores the objects whose version is higher than the one held, and reports whether there were any. Those who wait for a
-// change are told once.
+// Put stores the objects whose version is higher than the one held, and reports whether there were any. Waiters are notified once
+// for all of them.
 func (m *Mirror) Put(objects ...infra.Object) bool {
 	stored := false
 	for _, o := range objects {
 		stored = m.put(o) || stored
 	}
 	if stored {
-		m.tell()
+		m.notify()
 	}
 	return stored
 }
 
-// tell wakes those who wait for a change.
-func (m *Mirror) tell() {
+// notify wakes the waiters for a change.
+func (m *Mirror) notify() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	close(m.changed)
@@ -98,7 +99,7 @@
 	return true
 }
 
-// append lists a change in place of the one before it.
+// append adds a change to the list of changes and removes held, the object's previous change, if there is one.
 func (m *Mirror) append(held *entry, o infra.Object) *entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,18 +107,18 @@
 	e := &entry{object: o, sequence: m.sequence}
 	m.unmarked++
 	if held != nil {
-		e.routed = held.routed
-		m.changes.Remove(held.place)
-		if held.use == unknown {
+		e.everRouting = held.everRouting
+		m.changes.Remove(held.element)
+		if held.usage == usageUnknown {
 			m.unmarked--
 		}
 	}
-	e.place = m.changes.PushBack(e)
+	e.element = m.changes.PushBack(e)
 	return e
 }
 
-// Forget drops objects without keeping that they were removed: whoever has the same versions may tell them again. It returns
-// their keys.
+// Forget drops the objects below prefix for which where returns true, and returns their keys. It does not treat them as removed
+// from the store: the same versions can be stored again.
 func (m *Mirror) Forget(prefix string, where func(o infra.Object) bool) []string {
 	var forgotten []string
 	for _, o := range m.List(prefix) {
@@ -127,20 +128,20 @@
 		s := m.shard(o.Key)
 		s.mu.Lock()
 		if held := s.entries[o.Key]; held != nil && held.object.Version == o.Version {
-			s.entries[o.Key] = m.append(held, dropped(o))
+			s.entries[o.Key] = m.append(held, tombstone(o))
 			forgotten = append(forgotten, o.Key)
 		}
 		s.mu.Unlock()
 	}
 	if len(forgotten) > 0 {
-		m.tell()
+		m.notify()
 	}
 	return forgotten
 }
 
-// dropped stands for an object that a node does not keep though it is there. Its version is older, so that a node that is to
-// keep the object after all takes it from anyone who has it.
-func dropped(o infra.Object) infra.Object {
+// tombstone returns a removal of an object that still exists in the store but that a node does not keep. It has the version
+// before the object's, so that a node that needs the object later accepts it from any other node.
+func tombstone(o infra.Object) infra.Object {
 	return infra.Object{Key: o.Key, Version: o.Version - 1, Deleted: true}
 }
 
@@ -156,7 +157,7 @@
 	return e.object, true
 }
 
-// List returns the objects below prefix, in no order.
+// List returns the objects below prefix, in no particular order.
 func (m *Mirror) List(prefix string) []infra.Object {
 	var out []infra.Object
 	for i := range m.shards {
@@ -172,7 +173,7 @@
 	return out
 }
 
-// Since returns the objects stored after that sequence, in order, deleted ones included, and the newest sequence.
+// Since returns the objects stored after the given sequence, in order and including deleted ones, and the newest sequence.
 func (m *Mirror) Since(sequence uint64) ([]infra.Object, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -183,8 +184,8 @@
 	return out, m.sequence
 }
 
-// Page returns the first of the objects stored after that sequence, in order, up to some bytes of values but one object at
-// least, and the sequence that they reach.
+// Page returns the first objects stored after the given sequence, in order, and the sequence that they reach. It returns objects
+// with values of up to the given number of bytes in total, but at least one object if there is any.
 func (m *Mirror) Page(sequence uint64, bytes int) ([]infra.Object, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,11 +200,12 @@
 	return out, m.sequence
 }
 
-// after returns the first entry stored after that sequence, or nil; the lock is held. What is asked for is mostly new.
+// after returns the first entry stored after the given sequence, or nil. m.mu must be held. It searches from the newest entry,
+// because callers mostly have all but the last changes.
 func (m *Mirror) after(sequence uint64) *entry {
 	var first *entry
 	for at := m.changes.Back(); at != nil; at = at.Prev() {
-		e := at.Value.(*entry) //nolint:errcheck // nothing else is listed
+		e := at.Value.(*entry) //nolint:errcheck // the list contains only entries
 		if e.sequence <= sequence {
 			break
 		}
@@ -212,23 +214,23 @@
 	return first
 }
 
-// next returns the entry stored after e, or nil; the lock is held.
+// next returns the entry stored after e, or nil. The mirror's mu must be held.
 func next(e *entry) *entry {
-	at := e.place.Next()
+	at := e.element.Next()
 	if at == nil {
 		return nil
 	}
-	return at.Value.(*entry) //nolint:errcheck // nothing else is listed
+	return at.Value.(*entry) //nolint:errcheck // the list contains only entries
 }
 
-// Sequence returns the newest sequence.
+// Sequence returns the sequence of the newest change.
 func (m *Mirror) Sequence() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sequence
 }
 
-// Changed returns a channel that is closed at the next Put that stores something.
+// Changed returns a channel that is closed at the next change of the mirror.
 func (m *Mirror) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestObjectLargerThanAPageComesAlone(t *testing.T) {
+func TestObjectLargerThanAPageIsReturnedAlone(t *testing.T) {
 	m := New()
 	m.Put(infra.Object{Key: "large", Version: 1, Value: make([]byte, 100)})
 	m.Put(infra.Object{Key: "next", Version: 1, Value: make([]byte, 1)})
--- a/internal/mirror/routing.go
+++ b/internal/mirror/routing.go
@@ -2,8 +2,8 @@
 
 import "moorrun.dev/moorrun/internal/infra"
 
-// Mark notes who needs an object of that version: all nodes, for routing, or only those that form replica groups. Nothing
-// that is not marked, nor what came after it, is given to nodes that only route.
+// Mark records which nodes need this version of an object: all, for routing, or only those that form replica groups. Nodes that
+// only route get neither unmarked changes nor any that follow them.
 func (m *Mirror) Mark(o infra.Object, routing bool) {
 	s := m.shard(o.Key)
 	s.mu.RLock()
@@ -14,41 +14,42 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if e.use == unknown {
+	if e.usage == usageUnknown {
 		m.unmarked--
 	}
-	e.use = forForming
+	e.usage = usageFormation
 	if routing {
-		e.use = forRouting
+		e.usage = usageRouting
 	}
-	e.routed = e.routed || routing
-	if e.routed {
-		m.routing = max(m.routing, e.sequence)
+	e.everRouting = e.everRouting || routing
+	if e.everRouting {
+		m.lastRouting = max(m.lastRouting, e.sequence)
 	}
 }
 
-// RoutingSequence returns the sequence of the last change that nodes need which only route, or that may be one: a node that
-// has everything up to it and nothing later is as current as this one.
+// RoutingSequence returns the sequence of the last change that is needed for routing, or that may be as long as there are unmarked
+// changes. A routing copy that includes all changes up to it is as current as this mirror.
 func (m *Mirror) RoutingSequence() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.unmarked > 0 {
 		return m.sequence
 	}
-	return m.routing
+	return m.lastRouting
 }
 
-// RoutingPage is Page for nodes that only route. What they needed before and do not any more is given as removed.
+// RoutingPage is like Page for nodes that only route requests. Objects that they needed before and no longer need are returned
+// as removed.
 func (m *Mirror) RoutingPage(sequence uint64, bytes int) ([]infra.Object, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []infra.Object
-	for e := m.after(sequence); e != nil && e.use != unknown; e = next(e) {
+	for e := m.after(sequence); e != nil && e.usage != usageUnknown; e = next(e) {
 		o := e.object
-		if e.use != forRouting {
-			o = dropped(o)
+		if e.usage != usageRouting {
+			o = tombstone(o)
 		}
-		if e.routed {
+		if e.everRouting {
 			if bytes -= len(o.Value); bytes < 0 && len(out) > 0 {
 				break
 			}
--- a/internal/mirror/routing_test.go
+++ b/internal/mirror/routing_test.go
@@ -8,8 +8,8 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// all returns what a node that only routes gets in pages of one object, and how far it comes.
-func all(m *Mirror, since uint64) (out []infra.Object, reached uint64) {
+// routingPages returns the objects that a node that only routes receives in pages of one object, and the sequence reached.
+func routingPages(m *Mirror, since uint64) (out []infra.Object, reached uint64) {
 	for {
 		page, next := m.RoutingPage(since, 1)
 		out = append(out, page...)
@@ -30,7 +30,7 @@
 	m.Put(head, member)
 	m.Mark(head, true)
 	m.Mark(member, false)
-	got, reached := all(m, 0)
+	got, reached := routingPages(m, 0)
 	qt.Check(t, got, qt.DeepEquals, []infra.Object{head})
 	qt.Check(t, reached, qt.Equals, uint64(2))
 	qt.Check(t, m.RoutingSequence(), qt.Equals, uint64(1))
@@ -38,46 +38,47 @@
 	changed := object("member", 3)
 	m.Put(changed)
 	m.Mark(changed, false)
-	got, reached = all(m, reached)
-	qt.Check(t, got, qt.HasLen, 0, qt.Commentf("its changes are nothing to them"))
+	got, reached = routingPages(m, reached)
+	qt.Check(t, got, qt.HasLen, 0, qt.Commentf("changes of a member are not needed for routing"))
 	qt.Check(t, m.RoutingSequence(), qt.Equals, uint64(1))
 
-	left := object("head", 4)
-	m.Put(left)
-	m.Mark(left, false)
-	got, _ = all(m, reached)
-	qt.Check(t, got, qt.DeepEquals, []infra.Object{{Key: "head", Version: 3, Deleted: true}}, qt.Commentf("they are told that it takes no requests any more"))
+	demoted := object("head", 4)
+	m.Put(demoted)
+	m.Mark(demoted, false)
+	got, _ = routingPages(m, reached)
+	qt.Check(t, got, qt.DeepEquals, []infra.Object{{Key: "head", Version: 3, Deleted: true}}, qt.Commentf("an object that is no longer needed is returned as removed"))
 	qt.Check(t, m.RoutingSequence(), qt.Equals, uint64(4))
 }
 
-// Whether a change matters to them is known only once it has been read. Until then a node is not as current as it looks.
-func TestNothingIsGivenPastAChangeThatHasNotBeenRead(t *testing.T) {
+// Whether a change is needed for routing is known only once it has been marked. Until then neither it nor a later change is
+// returned, and a routing copy without it does not count as current.
+func TestRoutingPageStopsAtAnUnmarkedChange(t *testing.T) {
 	m := New()
-	unread, head := object("unread", 1), object("head", 2)
-	m.Put(unread, head)
+	unmarkedObject, head := object("unread", 1), object("head", 2)
+	m.Put(unmarkedObject, head)
 	m.Mark(head, true)
-	got, reached := all(m, 0)
+	got, reached := routingPages(m, 0)
 	qt.Check(t, got, qt.HasLen, 0)
 	qt.Check(t, reached, qt.Equals, uint64(0))
-	qt.Check(t, m.RoutingSequence(), qt.Equals, uint64(2), qt.Commentf("the unread one may be needed"))
-	m.Mark(unread, false)
-	got, reached = all(m, 0)
+	qt.Check(t, m.RoutingSequence(), qt.Equals, uint64(2), qt.Commentf("the unmarked object may be needed"))
+	m.Mark(unmarkedObject, false)
+	got, reached = routingPages(m, 0)
 	qt.Check(t, got, qt.DeepEquals, []infra.Object{head})
 	qt.Check(t, reached, qt.Equals, uint64(2))
 }
 
-func TestForgottenObjectMayBeToldAgain(t *testing.T) {
+func TestForgottenObjectMayBeStoredAgain(t *testing.T) {
 	m := New()
 	o := object("e", 7)
 	m.Put(o)
 	m.Forget("", func(infra.Object) bool { return true })
 	_, there := m.Get("e")
 	qt.Check(t, there, qt.IsFalse)
-	qt.Check(t, m.Put(object("e", 6)), qt.IsFalse, qt.Commentf("not in an earlier version"))
+	qt.Check(t, m.Put(object("e", 6)), qt.IsFalse, qt.Commentf("an earlier version is not stored"))
 	qt.Check(t, m.Put(o), qt.IsTrue)
 }
 
-func TestThoseWhoWaitAreToldOnceOfManyChanges(t *testing.T) {
+func TestWaitersAreNotifiedOncePerPut(t *testing.T) {
 	m := New()
 	before := m.Changed()
 	m.Put(object("a", 1), object("b", 2))
@@ -87,13 +88,13 @@
 	m.Put(object("a", 1))
 	select {
 	case <-after:
-		t.Error("nothing has changed")
+		t.Error("notified without a change")
 	default:
 	}
 }
 
-// What came after a sequence is found without looking at the rest.
-func TestChangesAreFoundWhateverElseIsHeld(t *testing.T) {
+// Changes after a sequence are found without scanning the others.
+func TestSinceDoesNotScanOtherChanges(t *testing.T) {
 	allocations := func(held int) float64 {
 		m := New()
 		for i := range held {
--- a/internal/mirror/view.go
+++ b/internal/mirror/view.go
@@ -7,25 +7,25 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// View decodes objects of one type, each version once. What it returns must not be changed.
+// View decodes objects of one type from JSON, each version once. The values that it returns must not be modified.
 type View[T any] struct {
 	mirror *Mirror
 
 	mu    sync.Mutex
-	pages map[string]page[T]
+	cache map[string]cached[T]
 }
 
-type page[T any] struct {
+type cached[T any] struct {
 	version int64
 	value   *T
 }
 
-// NewView returns a View over the mirror.
+// NewView returns a View of the mirror m.
 func NewView[T any](m *Mirror) *View[T] {
-	return &View[T]{mirror: m, pages: make(map[string]page[T])}
+	return &View[T]{mirror: m, cache: make(map[string]cached[T])}
 }
 
-// Get returns the value under key with its object's version; false when it is absent or no T.
+// Get returns the value under key with its object's version, or false if it is absent or cannot be decoded as a T.
 func (v *View[T]) Get(key string) (*T, int64, bool) {
 	o, ok := v.mirror.Get(key)
 	if !ok {
@@ -34,7 +34,7 @@
 	return v.decode(o)
 }
 
-// All returns every value below prefix, in no order.
+// All returns all values below prefix that can be decoded as a T, in no particular order.
 func (v *View[T]) All(prefix string) []*T {
 	objects := v.mirror.List(prefix)
 	out := make([]*T, 0, len(objects))
@@ -49,13 +49,13 @@
 func (v *View[T]) decode(o infra.Object) (*T, int64, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if p, ok := v.pages[o.Key]; ok && p.version == o.Version {
+	if p, ok := v.cache[o.Key]; ok && p.version == o.Version {
 		return p.value, p.version, true
 	}
 	value := new(T)
 	if err := json.Unmarshal(o.Value, value); err != nil {
 		return nil, 0, false
 	}
-	v.pages[o.Key] = page[T]{o.Version, value}
+	v.cache[o.Key] = cached[T]{o.Version, value}
 	return value, o.Version, true
 }
