--- a/internal/server/changes_test.go
+++ b/internal/server/changes_test.go
@@ -10,7 +10,7 @@
 )
 
 // Whether an endpoint serves alone is determined by its service, not by its own entry.
-func TestNodesThatOnlyRouteAreGivenPlainEndpointsWhateverTheySay(t *testing.T) {
+func TestServiceDeterminesWhetherAnEndpointIsNeededForRouting(t *testing.T) {
 	n := &Server{}
 	engine := &endpoint.Endpoint{Service: "engines", Domain: "d"}
 	qt.Check(t, n.neededForRouting(engine), qt.IsTrue, qt.Commentf("without a configuration the service may have no engines"))
--- a/internal/server/election.go
+++ b/internal/server/election.go
@@ -21,7 +21,7 @@
 // election only keeps the other nodes from requesting it.
 type election struct {
 	started  time.Time
-	capacity uint32 // of this node's VM
+	capacity uint32 // of this node's VM, in thousandths of a core
 	// delay returns the time that is deducted from this node's uptime, so that the nodes of a starting large fleet try to
 	// lead one after the other.
 	delay func() time.Duration
