--- a/internal/holder/controller.go
+++ b/internal/holder/controller.go
@@ -27,20 +27,23 @@
 )
 
 const (
-	controlEvery = 200 * time.Millisecond
-	// orderTimeout bounds an order; a new holder waits as long before it orders engines that do not
-	// check generations.
+	controlInterval = 200 * time.Millisecond
+	// orderTimeout is the time limit of one order call. A new lease holder waits this long before it sends
+	// orders to engines that do not check assignment generations.
 	orderTimeout = time.Second
-	// orderAgain is the pause before an order that shows no effect is repeated.
-	orderAgain = time.Second
-	// defaultLoads is the weight store's rate until it has told its own, in VM loads a second.
-	defaultLoads = 8
-	loadBurst    = 64
-	// silentFromStart is how long a new holder waits for a VM's first report.
-	silentFromStart = 5 * time.Second
+	// orderRetryInterval is the time after which an order is sent again if the VM's reported state still differs.
+	orderRetryInterval = time.Second
+	// defaultLoadsPerSecond is the rate of weight loads, in VMs per second, that is assumed until the weight
+	// store has reported its own limit.
+	defaultLoadsPerSecond = 8
+	loadBurst             = 64 // VM loads that may start at once
+	// firstReportTimeout is how long a new lease holder waits for a VM's first report before it treats the VM
+	// as silent.
+	firstReportTimeout = 5 * time.Second
 )
 
-// Controller plans and orders while the lease is held.
+// Controller writes the assignments of a data centre's fabric domains and sends orders to their VMs while
+// this node holds the data centre's lease.
 type Controller struct {
 	Keeper     *Keeper
 	Objects    infra.ObjectStore
@@ -59,26 +62,26 @@
 	Policy     replica.Policy
 	Losses     *LossMeter
 
-	epoch    int64
-	since    time.Time // when epoch was first seen held
-	loads    *rate.Limiter
-	domains  map[string]*domainState
-	inflight errgroup.Group
+	epoch       int64
+	epochStart  time.Time // when this node was first seen to hold the lease with this epoch
+	loadLimiter *rate.Limiter
+	domains     map[string]*domainState
+	inflight    errgroup.Group
 }
 
-// domainState is what the holder keeps of one domain during one tenure.
+// domainState is the controller's state for one domain during one tenure of the lease.
 type domainState struct {
-	memory  *replica.Memory
-	latest  *replica.Assignment
-	version int64
-	claimed bool // the assignment was written in this tenure
-	ordered map[string]sentOrder
+	memory            *replica.Memory
+	latest            *replica.Assignment
+	version           int64
+	writtenThisTenure bool                 // an assignment has been written in this tenure
+	lastOrders        map[string]sentOrder // by VM name
 }
 
-// Run controls the data centre's domains until ctx ends.
+// Run plans for the data centre's domains and sends orders until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
-	c.loads = rate.NewLimiter(defaultLoads, loadBurst)
-	loop.Every(ctx, controlEvery, func(now time.Time) { c.step(ctx, now) })
+	c.loadLimiter = rate.NewLimiter(defaultLoadsPerSecond, loadBurst)
+	loop.Every(ctx, controlInterval, func(now time.Time) { c.step(ctx, now) })
 	return c.inflight.Wait()
 }
 
@@ -89,34 +92,35 @@
 		return
 	}
 	if epoch != c.epoch {
-		c.epoch, c.since = epoch, now
+		c.epoch, c.epochStart = epoch, now
 		c.domains = make(map[string]*domainState)
 	}
 	ctx, cancel := clock.WithDeadline(ctx, until)
 	defer cancel()
-	c.limitLoads(current)
+	c.updateLoadRate(current)
 	placement := replica.Place(current, c.assignments(current), c.Demand())
 	for _, d := range current.Domains() {
 		if d.DataCentre == c.DataCentre {
-			c.control(ctx, current, d, placement)
+			c.reconcile(ctx, current, d, placement)
 		}
 	}
 }
 
-// limitLoads sets this data centre's part of the weight store's rate.
-func (c *Controller) limitLoads(current *config.Config) {
+// updateLoadRate sets the rate of weight loads to this data centre's equal share of the weight store's limit.
+func (c *Controller) updateLoadRate(current *config.Config) {
 	total := c.VMs.Limits().LoadsPerSecond
 	if total <= 0 {
-		total = defaultLoads
+		total = defaultLoadsPerSecond
 	}
 	centres := make(map[string]bool)
 	for _, d := range current.Domains() {
 		centres[d.DataCentre] = true
 	}
-	c.loads.SetLimit(rate.Limit(total / float64(max(1, len(centres)))))
+	c.loadLimiter.SetLimit(rate.Limit(total / float64(max(1, len(centres)))))
 }
 
-// assignments returns every domain's assignment, our own as last written.
+// assignments returns the assignment of every domain in the configuration. For domains that this controller
+// manages it returns the version last written or read, which may be newer than the mirror's.
 func (c *Controller) assignments(current *config.Config) []*replica.Assignment {
 	var out []*replica.Assignment
 	for _, a := range c.Book.All() {
@@ -130,10 +134,10 @@
 	return out
 }
 
-func (c *Controller) control(ctx context.Context, current *config.Config, d config.DomainOf, placement replica.Placement) {
+func (c *Controller) reconcile(ctx context.Context, current *config.Config, d config.DomainOf, placement replica.Placement) {
 	s, ok := c.domains[d.Name]
 	if !ok {
-		s = &domainState{memory: replica.NewMemory(), ordered: make(map[string]sentOrder)}
+		s = &domainState{memory: replica.NewMemory(), lastOrders: make(map[string]sentOrder)}
 		c.domains[d.Name] = s
 	}
 	if a, version, ok := c.Book.Get(d.Name); ok && version > s.version {
@@ -143,22 +147,22 @@
 		s.latest = &replica.Assignment{Domain: d.Name, DataCentre: d.DataCentre}
 	}
 	if current.Revision < s.latest.Revision {
-		return // the holder before knew a later configuration; planning from this one would revert it
+		return // the previous holder used a later configuration; planning from this one would revert it
 	}
 	view := c.view(current, d, placement)
 	c.Losses.add(d.Domain, s.latest, view, c.Policy.LossAfter)
 	next, changes := replica.Plan(s.latest, view, s.memory, c.Policy)
-	if !s.claimed && len(changes) == 0 {
+	if !s.writtenThisTenure && len(changes) == 0 {
 		next = s.latest.Clone()
 		next.Generation++
 	}
 	next.Revision = max(current.Revision, next.Revision)
-	if !s.claimed || len(changes) > 0 {
+	if !s.writtenThisTenure || len(changes) > 0 {
 		if !c.write(ctx, s, next, changes) {
 			return
 		}
 	}
-	c.order(ctx, d, s, view)
+	c.sendOrders(ctx, d, s, view)
 }
 
 func (c *Controller) view(current *config.Config, d config.DomainOf, placement replica.Placement) replica.View {
@@ -169,7 +173,7 @@
 		Now: now, Domain: d.Domain, Models: current.Models(), Prices: current.Prices,
 		VMs: make(map[string]replica.VMView, len(d.VMs)),
 		Add: placement.Add[d.Name], Drop: placement.Drop[d.Name],
-		Loads: int(c.loads.TokensAt(now)),
+		Loads: int(c.loadLimiter.TokensAt(now)),
 		MayRoll: func(g *replica.Group) bool {
 			return replica.MayRoll(g, current.Models()[g.Model].Model, all)
 		},
@@ -184,17 +188,17 @@
 	return v
 }
 
-// report returns the VM's last report. A VM that has said nothing for a while in this tenure counts as
-// silent since its start.
+// report returns the VM's last report. A VM without any report firstReportTimeout after the start of the
+// tenure counts as silent since the start of the tenure.
 func (c *Controller) report(vm string, now time.Time) replica.VMView {
 	view := c.Reports.Get(vm)
-	if !view.Answered && now.Sub(c.since) > silentFromStart {
-		return replica.VMView{Answered: true, LastAnswer: c.since}
+	if !view.Answered && now.Sub(c.epochStart) > firstReportTimeout {
+		return replica.VMView{Answered: true, LastAnswer: c.epochStart}
 	}
 	return view
 }
 
-// write puts the next assignment in force and reports whether it did.
+// write stores the next assignment and reports whether it took effect.
 func (c *Controller) write(ctx context.Context, s *domainState, next *replica.Assignment, changes []replica.Change) bool {
 	next.Holder, next.Epoch, next.Operation = c.VM, c.epoch, uuid.NewString()
 	err := next.Check()
@@ -214,13 +218,13 @@
 	c.Checker.Hold(invariant.UnderLease, next.Epoch >= s.latest.Epoch, func() []any {
 		return []any{"domain", next.Domain, "epoch", next.Epoch, "after_epoch", s.latest.Epoch}
 	})
-	c.accepted(s, next, version, changes)
+	c.recordWritten(s, next, version, changes)
 	return true
 }
 
-func (c *Controller) accepted(s *domainState, next *replica.Assignment, version int64, changes []replica.Change) {
-	c.loads.AllowN(time.Now(), min(loadBurst, newLoads(s.latest, next)))
-	s.latest, s.version, s.claimed = next, version, true
+func (c *Controller) recordWritten(s *domainState, next *replica.Assignment, version int64, changes []replica.Change) {
+	c.loadLimiter.AllowN(time.Now(), min(loadBurst, countNewLoads(s.latest, next)))
+	s.latest, s.version, s.writtenThisTenure = next, version, true
 	if raw, err := json.Marshal(next); err == nil {
 		c.Mirror.Put(infra.Object{Key: keys.Domain(next.Domain), Version: version, Value: raw})
 	}
@@ -230,7 +234,8 @@
 	}
 }
 
-// readBack learns how a write ended: by its operation it is known even when the answer was lost.
+// readBack reads the assignment after a write that was not confirmed. If the object carries the operation ID
+// of the write, the write took effect and only its answer was lost.
 func (c *Controller) readBack(ctx context.Context, s *domainState, sent *replica.Assignment) {
 	o, err := c.Objects.Get(ctx, keys.Domain(sent.Domain))
 	if errors.Is(err, infra.ErrNotFound) || err != nil {
@@ -238,18 +243,18 @@
 	}
 	a := &replica.Assignment{}
 	if err := json.Unmarshal(o.Value, a); err != nil {
-		_ = level.Error(c.Logger).Log("msg", "the assignment cannot be read", "domain", sent.Domain, "err", err)
+		_ = level.Error(c.Logger).Log("msg", "cannot decode assignment", "domain", sent.Domain, "err", err)
 		return
 	}
 	if a.Operation == sent.Operation {
-		c.accepted(s, a, o.Version, nil)
+		c.recordWritten(s, a, o.Version, nil)
 		return
 	}
 	s.latest, s.version = a, o.Version
 }
 
-// newLoads is how many VMs have to load weights for the next assignment.
-func newLoads(old, next *replica.Assignment) int {
+// countNewLoads returns how many VMs have to load weights for the next assignment.
+func countNewLoads(old, next *replica.Assignment) int {
 	n := 0
 	for _, g := range next.Groups {
 		before := old.Group(g.ID)
--- a/internal/holder/controller_test.go
+++ b/internal/holder/controller_test.go
@@ -21,7 +21,7 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// stubStore takes every write.
+// stubStore accepts and counts every write.
 type stubStore struct {
 	infra.ObjectStore
 	writes int
@@ -35,10 +35,10 @@
 
 func newController(checker *invariant.Checker, store infra.ObjectStore) *Controller {
 	k := NewKeeper(store, "dc", "vm", time.Minute, 0, func() bool { return true }, log.NewNopLogger())
-	return &Controller{Keeper: k, Objects: store, Mirror: mirror.New(), Checker: checker, Logger: log.NewNopLogger(), loads: rate.NewLimiter(1, 1)}
+	return &Controller{Keeper: k, Objects: store, Mirror: mirror.New(), Checker: checker, Logger: log.NewNopLogger(), loadLimiter: rate.NewLimiter(1, 1)}
 }
 
-func TestPlantedVMInTwoGroupsIsCaughtAndNotWritten(t *testing.T) {
+func TestAssignmentWithVMInTwoGroupsIsReportedAndNotWritten(t *testing.T) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	store := &stubStore{}
 	c := newController(checker, store)
@@ -56,7 +56,7 @@
 	qt.Assert(t, store.writes, qt.Equals, 0)
 }
 
-func TestHolderWithAnEarlierConfigurationChangesNothing(t *testing.T) {
+func TestHolderWithEarlierConfigurationWritesNothing(t *testing.T) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	store := &stubStore{}
 	c := newController(checker, store)
@@ -64,17 +64,17 @@
 	c.VMs, c.Losses, c.Policy = NewVMWatch(nil, nil, nil), NewLossMeter(), replica.DefaultPolicy
 	c.DataCentre = "x"
 	part := config.Part{DataCentre: &config.DataCentre{Name: "x", Domains: []config.Domain{{Name: "d"}}}}
-	hold(c, 3)
-	c.domains = map[string]*domainState{"d": {memory: replica.NewMemory(), ordered: map[string]sentOrder{}, latest: &replica.Assignment{Domain: "d", Revision: 8}}}
-	for i, revision := range []int64{7, 8} { // the first claims nothing, the second does
+	holdLease(c, 3)
+	c.domains = map[string]*domainState{"d": {memory: replica.NewMemory(), lastOrders: map[string]sentOrder{}, latest: &replica.Assignment{Domain: "d", Revision: 8}}}
+	for i, revision := range []int64{7, 8} { // the stored revision is 8: 7 causes no write, 8 causes one
 		current := config.New(revision, config.Set{"data_centre/x": part})
-		c.control(context.Background(), current, current.Domains()["d"], replica.Placement{})
+		c.reconcile(context.Background(), current, current.Domains()["d"], replica.Placement{})
 		qt.Check(t, store.writes, qt.Equals, i, qt.Commentf("revision %d", revision))
 	}
 }
 
-// hold gives the controller the lease at that epoch.
-func hold(c *Controller, epoch int64) {
+// holdLease makes the controller hold the lease with the given epoch.
+func holdLease(c *Controller, epoch int64) {
 	now := time.Now()
 	record := lease.Record{Holder: "vm", Epoch: epoch, Operation: "op", TTLMillis: time.Minute.Milliseconds()}
 	c.Keeper.lease.Sending(record, now)
@@ -82,10 +82,10 @@
 	c.epoch = epoch
 }
 
-func TestPlantedEarlierEpochIsCaught(t *testing.T) {
+func TestReplacingLaterEpochIsReported(t *testing.T) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	c := newController(checker, &stubStore{})
-	hold(c, 3)
+	holdLease(c, 3)
 	later := &domainState{latest: &replica.Assignment{Domain: "d", Epoch: 4}}
 	qt.Assert(t, c.write(context.Background(), later, &replica.Assignment{Domain: "d"}, nil), qt.IsTrue)
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(1))
--- a/internal/holder/keeper.go
+++ b/internal/holder/keeper.go
@@ -1,5 +1,5 @@
-// Package holder does what only the holder of a data centre's lease may do: write the assignments of its
-// fabric domains and give orders to their engines.
+// Package holder implements the tasks of the node that holds a data centre's lease: it writes the assignments
+// of the data centre's fabric domains and sends orders to their engines.
 package holder
 
 import (
@@ -21,68 +21,70 @@
 	"moorrun.dev/moorrun/internal/loop"
 )
 
-const keeperStep = 200 * time.Millisecond
+const leaseStepInterval = 200 * time.Millisecond
 
-// Keeper keeps this node's view of its data centre's lease.
+// Keeper acquires, renews and releases one lease object in the platform's store and keeps this node's view of it.
 type Keeper struct {
 	objects infra.ObjectStore
 	key     string
 	ttl     time.Duration
-	want    func() bool
+	wanted  func() bool
 	logger  log.Logger
 
 	mu    sync.Mutex
 	lease *lease.Lease
 }
 
-// NewKeeper returns a Keeper for the lease of a data centre; want says whether this node should hold it.
-func NewKeeper(objects infra.ObjectStore, dataCentre, vm string, ttl, margin time.Duration, want func() bool, logger log.Logger) *Keeper {
+// NewKeeper returns a Keeper for the lease with the given name, such as that of a data centre. want reports
+// whether this node should hold the lease. Another process's lease counts as expired only after its time to
+// live and margin have passed.
+func NewKeeper(objects infra.ObjectStore, name, vm string, ttl, margin time.Duration, want func() bool, logger log.Logger) *Keeper {
 	return &Keeper{
-		objects: objects, key: keys.Lease(dataCentre), ttl: ttl, want: want, logger: logger,
+		objects: objects, key: keys.Lease(name), ttl: ttl, wanted: want, logger: logger,
 		lease: lease.New(vm, ttl, margin),
 	}
 }
 
-// Held returns the epoch and end of the lease while this node holds it.
+// Held returns the epoch and the expiry time of the lease; ok is false unless this node holds it at now.
 func (k *Keeper) Held(now time.Time) (epoch int64, until time.Time, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.Held(now)
 }
 
-// Latest returns the version and the record of the lease as last seen.
+// Latest returns the object version and the record of the lease as last seen.
 func (k *Keeper) Latest() (int64, lease.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.Latest()
 }
 
-// Told takes in what the holder of the lease has told of it.
+// Told records the object version and the record of the lease that its holder reported to this node.
 func (k *Keeper) Told(version int64, record lease.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lease.Told(version, record, clock.Now())
 }
 
-// GivenUp takes in that a node has told that it does not hold the lease.
+// GivenUp records that the node by has reported that it does not hold the lease.
 func (k *Keeper) GivenUp(by string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lease.GivenUp(by)
 }
 
-// HeldElsewhere reports whether another node holds the lease as far as is known.
+// HeldElsewhere reports whether another node holds the lease, as far as this node knows.
 func (k *Keeper) HeldElsewhere(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.HeldElsewhere(now)
 }
 
-// Run contends for the lease while this node should hold it, until ctx ends; then it is released.
+// Run acquires and renews the lease while this node should hold it. When ctx is done it releases the lease.
 func (k *Keeper) Run(ctx context.Context) error {
 	held := false
-	loop.Every(ctx, keeperStep, func(now time.Time) {
-		want := k.want()
+	loop.Every(ctx, leaseStepInterval, func(now time.Time) {
+		want := k.wanted()
 		if _, _, ok := k.Held(now); want || ok {
 			k.step(ctx, want)
 		}
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// release gives the lease up, so that the next holder need not wait it out.
+// release releases the lease if it is held, so that the next holder need not wait for it to expire.
 func (k *Keeper) release() {
 	if _, _, ok := k.Held(clock.Now()); !ok {
 		return
@@ -133,7 +135,7 @@
 		return
 	default:
 		if err := json.Unmarshal(o.Value, &record); err != nil {
-			_ = level.Error(k.logger).Log("msg", "the lease object cannot be read", "key", k.key, "err", err)
+			_ = level.Error(k.logger).Log("msg", "cannot decode lease object", "key", k.key, "err", err)
 			return
 		}
 	}
@@ -151,6 +153,6 @@
 		k.lease.Applied(version, record, clock.Now())
 	case infra.NotApplied:
 		k.lease.Refused(record.Operation)
-	case infra.Unknown: // the next step reads it back
+	case infra.Unknown: // the next step reads the object to see whether the write took effect
 	}
 }
--- a/internal/holder/loss_meter.go
+++ b/internal/holder/loss_meter.go
@@ -9,22 +9,24 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// maxMeterStep bounds the time charged for one step, so that a pause of the holder is not charged to groups.
-const maxMeterStep = time.Second
+// maxMeteredStep is the longest step that is charged. A longer step means that the holder paused, and such a
+// pause is not charged to the groups.
+const maxMeteredStep = time.Second
 
-// LossMeter adds up what replica groups that are not whole cost, while the lease is held here.
+// LossMeter sums the downtime and the stranded accelerator time caused by replica groups that are not whole
+// (some member VM is silent or not ready), while this node holds the lease.
 type LossMeter struct {
-	mu     sync.Mutex
-	last   map[string]time.Time // domain → last step
-	losses map[string]*burn.GroupLosses
+	mu       sync.Mutex
+	lastStep map[string]time.Time         // by domain: when its losses were last updated
+	losses   map[string]*burn.GroupLosses // by workspace
 }
 
 // NewLossMeter returns an empty LossMeter.
 func NewLossMeter() *LossMeter {
-	return &LossMeter{last: make(map[string]time.Time), losses: make(map[string]*burn.GroupLosses)}
+	return &LossMeter{lastStep: make(map[string]time.Time), losses: make(map[string]*burn.GroupLosses)}
 }
 
-// Losses returns the sums by workspace; accelerators in no group stand under the empty workspace.
+// Losses returns the sums by workspace. Idle accelerators in no group are counted under the empty workspace name.
 func (m *LossMeter) Losses() []burn.GroupLosses {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,36 +40,36 @@
 func (m *LossMeter) add(d config.Domain, a *replica.Assignment, v replica.View, limit time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	step := v.Now.Sub(m.last[d.Name])
-	m.last[d.Name] = v.Now
-	if step <= 0 || step > maxMeterStep {
+	step := v.Now.Sub(m.lastStep[d.Name])
+	m.lastStep[d.Name] = v.Now
+	if step <= 0 || step > maxMeteredStep {
 		return
 	}
-	broken := make(map[string]bool)
+	incomplete := make(map[string]bool)
 	for _, g := range a.Groups {
 		if replica.Whole(g, v.VMs, v.Now, limit) {
 			continue
 		}
-		broken[g.ID] = true
+		incomplete[g.ID] = true
 		if g.HasServed() {
-			m.of(g.Workspace).DowntimeSeconds += step.Seconds()
+			m.workspaceLosses(g.Workspace).DowntimeSeconds += step.Seconds()
 		}
 	}
 	for _, vm := range d.VMs {
 		if !v.VMs[vm.Name].Answered || v.Now.Sub(v.VMs[vm.Name].LastAnswer) > limit {
-			continue // a lost VM's accelerators are not stranded but gone
+			continue // accelerators of a lost VM are unavailable and do not count as stranded
 		}
 		g := a.GroupOf(vm.Name)
 		switch {
 		case g == nil:
-			m.of("").StrandedSeconds += step.Seconds() * float64(vm.Accelerators)
-		case broken[g.ID]:
-			m.of(g.Workspace).StrandedSeconds += step.Seconds() * float64(vm.Accelerators)
+			m.workspaceLosses("").StrandedSeconds += step.Seconds() * float64(vm.Accelerators)
+		case incomplete[g.ID]:
+			m.workspaceLosses(g.Workspace).StrandedSeconds += step.Seconds() * float64(vm.Accelerators)
 		}
 	}
 }
 
-func (m *LossMeter) of(workspace string) *burn.GroupLosses {
+func (m *LossMeter) workspaceLosses(workspace string) *burn.GroupLosses {
 	l, ok := m.losses[workspace]
 	if !ok {
 		l = &burn.GroupLosses{Workspace: workspace}
--- a/internal/holder/orders.go
+++ b/internal/holder/orders.go
@@ -13,40 +13,41 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// sentOrder is the last order given to a VM.
+// sentOrder is the last order sent to a VM and the time it was sent.
 type sentOrder struct {
 	at    time.Time
 	order infra.Order
 }
 
-// order tells every VM that does not show the wanted end to come to it.
-func (c *Controller) order(ctx context.Context, d config.DomainOf, s *domainState, view replica.View) {
+// sendOrders sends an order to every VM whose reported state differs from the one that the assignment requires.
+func (c *Controller) sendOrders(ctx context.Context, d config.DomainOf, s *domainState, view replica.View) {
 	for _, vm := range d.VMs {
 		v := view.VMs[vm.Name]
 		if !v.Answered || !c.mayOrder(vm) {
 			continue
 		}
-		wanted := wantedEnd(s.latest, d, vm.Name)
-		if obeyed(v.State, wanted) {
+		desired := desiredOrder(s.latest, d, vm.Name)
+		if satisfies(v.State, desired) {
 			continue
 		}
-		last, ok := s.ordered[vm.Name]
-		if ok && last.order.Group == wanted.Group && last.order.GroupBirth == wanted.GroupBirth &&
-			last.order.Model == wanted.Model && last.order.Version == wanted.Version && clock.Since(last.at) < orderAgain {
+		last, ok := s.lastOrders[vm.Name]
+		if ok && last.order.Group == desired.Group && last.order.GroupBirth == desired.GroupBirth &&
+			last.order.Model == desired.Model && last.order.Version == desired.Version && clock.Since(last.at) < orderRetryInterval {
 			continue
 		}
-		s.ordered[vm.Name] = sentOrder{clock.Now(), wanted}
-		c.send(ctx, vm, wanted)
+		s.lastOrders[vm.Name] = sentOrder{clock.Now(), desired}
+		c.sendOrder(ctx, vm, desired)
 	}
 }
 
-// mayOrder holds orders to engines that do not check generations back, until those of the holder before
-// must have arrived or ended.
+// mayOrder reports whether orders may be sent to the VM. An engine that does not check assignment generations
+// gets none until orderTimeout after the start of the tenure: by then every order of the previous holder has
+// arrived or timed out.
 func (c *Controller) mayOrder(vm config.VM) bool {
-	return vm.ChecksOrders || clock.Since(c.since) > orderTimeout
+	return vm.ChecksOrders || clock.Since(c.epochStart) > orderTimeout
 }
 
-func (c *Controller) send(ctx context.Context, vm config.VM, wanted infra.Order) {
+func (c *Controller) sendOrder(ctx context.Context, vm config.VM, order infra.Order) {
 	epoch := c.epoch
 	_, until, held := c.Keeper.Held(clock.Now())
 	if !held {
@@ -62,15 +63,15 @@
 		if now, _, held := c.Keeper.Held(clock.Now()); !held || now != epoch {
 			return nil
 		}
-		if err := c.Engine.Order(ctx, vm.Address, wanted); err != nil {
-			_ = level.Warn(c.Logger).Log("msg", "order not obeyed", "to", vm.Name, "group", wanted.Group, "err", err)
+		if err := c.Engine.Order(ctx, vm.Address, order); err != nil {
+			_ = level.Warn(c.Logger).Log("msg", "order failed", "to", vm.Name, "group", order.Group, "err", err)
 		}
 		return nil
 	})
 }
 
-// wantedEnd is the order that states what vm should be.
-func wantedEnd(a *replica.Assignment, d config.DomainOf, vm string) infra.Order {
+// desiredOrder returns the order that puts vm into the state required by the assignment.
+func desiredOrder(a *replica.Assignment, d config.DomainOf, vm string) infra.Order {
 	o := infra.Order{VM: vm, Domain: a.Domain, Generation: a.Generation}
 	g := a.GroupOf(vm)
 	if g == nil {
@@ -93,7 +94,8 @@
 	return o
 }
 
-func obeyed(s infra.EngineState, o infra.Order) bool {
+// satisfies reports whether the engine state s is the one that o requires.
+func satisfies(s infra.EngineState, o infra.Order) bool {
 	return s.InGroup(o.Group, o.GroupBirth, o.Model, o.Version) && s.Role == o.Role ||
 		o.Group == "" && s.Group == "" && (o.Model == "" || s.Model == o.Model && s.Version == o.Version)
 }
--- a/internal/holder/pruner.go
+++ b/internal/holder/pruner.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	pruneEvery = 10 * time.Second
+	pruneInterval = 10 * time.Second
 	// pruneAfter is how long a registered node must be silent before its registration is removed. A node that
-	// lives all the same registers again when it sees that.
+	// is still running registers again when it sees the removal.
 	pruneAfter = 2 * time.Minute
 )
 
-// Pruner removes the registrations of nodes that are gone while the lease is held.
+// Pruner removes the registrations of nodes that have been silent for pruneAfter. It works while Active returns
+// true, that is, while this node holds a lease.
 type Pruner struct {
 	Active  func() bool
 	Objects infra.ObjectStore
@@ -30,13 +31,13 @@
 	Members *membership.Table
 	Logger  log.Logger
 
-	silent map[string]time.Time // key → since when the node is not heard
+	silentSince map[string]time.Time // by object key: when the node was first found silent
 }
 
-// Run prunes until ctx ends.
+// Run removes registrations until ctx is done.
 func (p *Pruner) Run(ctx context.Context) error {
-	p.silent = make(map[string]time.Time)
-	loop.Every(ctx, pruneEvery, func(now time.Time) {
+	p.silentSince = make(map[string]time.Time)
+	loop.Every(ctx, pruneInterval, func(now time.Time) {
 		if p.Active() {
 			p.prune(ctx, now)
 		}
@@ -46,13 +47,13 @@
 
 func (p *Pruner) prune(ctx context.Context, now time.Time) {
 	for _, o := range p.Mirror.List(keys.Nodes) {
-		if p.heard(o, now) {
-			delete(p.silent, o.Key)
+		if p.heardRecently(o, now) {
+			delete(p.silentSince, o.Key)
 			continue
 		}
-		since, known := p.silent[o.Key]
+		since, known := p.silentSince[o.Key]
 		if !known {
-			p.silent[o.Key] = now
+			p.silentSince[o.Key] = now
 			continue
 		}
 		if now.Sub(since) < pruneAfter {
@@ -63,8 +64,8 @@
 	}
 }
 
-// heard reports whether the registered process itself has been heard lately.
-func (p *Pruner) heard(o infra.Object, now time.Time) bool {
+// heardRecently reports whether the registered process itself has been heardRecently lately.
+func (p *Pruner) heardRecently(o infra.Object, now time.Time) bool {
 	var registered membership.Member
 	if json.Unmarshal(o.Value, &registered) != nil {
 		return false
--- a/internal/holder/pruner_test.go
+++ b/internal/holder/pruner_test.go
@@ -15,7 +15,7 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-// deletingStore notes which keys are deleted.
+// deletingStore records the deleted keys.
 type deletingStore struct {
 	infra.ObjectStore
 	deleted []string
@@ -27,7 +27,7 @@
 	return infra.Applied, nil
 }
 
-func TestOnlySilentNodesLoseTheirRegistration(t *testing.T) {
+func TestPrunerRemovesOnlySilentRegistrations(t *testing.T) {
 	start := time.Unix(1000, 0)
 	m := mirror.New()
 	members := membership.NewTable(membership.Member{VM: "self", Incarnation: "1", Heard: start})
@@ -40,9 +40,9 @@
 	register("alive", 2)
 	register("replaced", 3)
 	store := &deletingStore{}
-	p := &Pruner{Objects: store, Mirror: m, Members: members, Logger: log.NewNopLogger(), silent: map[string]time.Time{}}
+	p := &Pruner{Objects: store, Mirror: m, Members: members, Logger: log.NewNopLogger(), silentSince: map[string]time.Time{}}
 	for i := range 20 {
-		now := start.Add(time.Duration(i) * pruneEvery)
+		now := start.Add(time.Duration(i) * pruneInterval)
 		members.Put(membership.Member{VM: "alive", Incarnation: "1", Heard: now})
 		members.Put(membership.Member{VM: "replaced", Incarnation: "2", Heard: now})
 		p.prune(context.Background(), now)
--- a/internal/holder/suspend_test.go
+++ b/internal/holder/suspend_test.go
@@ -11,10 +11,11 @@
 	"moorrun.dev/moorrun/internal/lease"
 )
 
-// A holder that was suspended for longer than its lease wakes with its monotonic clock as it was; another may hold it now.
+// The monotonic clock does not advance while the VM is suspended. A holder suspended for longer than its lease
+// must not count on it after the resume, since another node may hold it by then.
 func TestLeaseRunsOutWhileTheMachineIsSuspended(t *testing.T) {
-	var asleep atomic.Int64
-	defer clock.Pretend(func() time.Duration { return time.Duration(asleep.Load()) })()
+	var suspended atomic.Int64
+	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
 	l := lease.New("a", 1500*time.Millisecond, 150*time.Millisecond)
 	l.Observed(0, lease.Record{}, clock.Now())
 	_, record, _ := l.Next(clock.Now(), true, "op")
@@ -22,7 +23,7 @@
 	l.Applied(1, record, clock.Now())
 	_, _, held := l.Held(clock.Now())
 	qt.Check(t, held, qt.IsTrue)
-	asleep.Add(int64(2 * time.Second))
+	suspended.Add(int64(2 * time.Second))
 	_, _, held = l.Held(clock.Now())
 	qt.Check(t, held, qt.IsFalse)
 }
--- a/internal/holder/vm_watch.go
+++ b/internal/holder/vm_watch.go
@@ -11,56 +11,56 @@
 )
 
 const (
-	vmListEvery  = 2 * time.Second
-	limitsEvery  = time.Minute
-	vmListMaxAge = 30 * time.Second
+	vmListInterval = 2 * time.Second
+	limitsInterval = time.Minute
+	vmListMaxAge   = 30 * time.Second // an older list is not used
 )
 
-// VMWatch polls the platform's VM list and the weight store's limits while the lease is held.
+// VMWatch polls the platform's VM list and the weight store's limits while this node holds a lease.
 type VMWatch struct {
 	list    infra.VMList
 	weights infra.WeightStore
 	active  func() bool
 
-	mu     sync.RWMutex
-	vms    map[string]infra.VMState
-	seen   map[string]bool // VMs that have been listed once: a list that lags may not have new ones yet
-	read   time.Time
-	limits infra.WeightLimits
+	mu         sync.RWMutex
+	vms        map[string]infra.VMState
+	everListed map[string]bool // VMs listed at least once; the platform's list may lag and lack new VMs
+	readAt     time.Time
+	limits     infra.WeightLimits
 }
 
 // NewVMWatch returns a VMWatch that polls while active returns true.
 func NewVMWatch(list infra.VMList, weights infra.WeightStore, active func() bool) *VMWatch {
-	return &VMWatch{list: list, weights: weights, active: active, seen: make(map[string]bool)}
+	return &VMWatch{list: list, weights: weights, active: active, everListed: make(map[string]bool)}
 }
 
-// State returns what the list says of a VM. known is false while the list is too old to say anything or
-// has never had the VM; a known VM that the list no longer has is "".
+// State returns the VM's state in the platform's list. known is false if the list is older than vmListMaxAge
+// or has never contained the VM. The state of a known VM that is no longer listed is "".
 func (w *VMWatch) State(vm string) (state infra.VMState, known bool) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	if clock.Since(w.read) > vmListMaxAge {
+	if clock.Since(w.readAt) > vmListMaxAge {
 		return "", false
 	}
-	return w.vms[vm], w.seen[vm]
+	return w.vms[vm], w.everListed[vm]
 }
 
-// Limits returns the weight store's limits, zero before they are known.
+// Limits returns the weight store's limits, or the zero value before they are known.
 func (w *VMWatch) Limits() infra.WeightLimits {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
 	return w.limits
 }
 
-// Run polls until ctx ends.
+// Run polls until ctx is done.
 func (w *VMWatch) Run(ctx context.Context) error {
 	var limitsRead time.Time
-	loop.Every(ctx, vmListEvery, func(now time.Time) {
+	loop.Every(ctx, vmListInterval, func(now time.Time) {
 		if !w.active() {
 			return
 		}
 		w.readList(ctx)
-		if now.Sub(limitsRead) > limitsEvery && w.readLimits(ctx) {
+		if now.Sub(limitsRead) > limitsInterval && w.readLimits(ctx) {
 			limitsRead = now
 		}
 	})
@@ -79,9 +79,9 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.vms, w.read = states, sent
+	w.vms, w.readAt = states, sent
 	for name := range states {
-		w.seen[name] = true
+		w.everListed[name] = true
 	}
 }
 
