--- a/internal/domains/book.go
+++ b/internal/domains/book.go
@@ -1,4 +1,4 @@
-// Package domains reads the fabric domains' assignments from the mirror.
+// Package domains reads the assignments of the fabric domains from this node's mirror of the platform's store.
 package domains
 
 import (
@@ -7,20 +7,20 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// Book gives the assignments; they must not be changed.
+// Book returns the stored assignments. Callers must not modify them.
 type Book struct {
 	view *mirror.View[replica.Assignment]
 }
 
-// NewBook returns a Book over the mirror.
+// NewBook returns a Book that reads from m.
 func NewBook(m *mirror.Mirror) *Book {
 	return &Book{mirror.NewView[replica.Assignment](m)}
 }
 
-// Get returns the assignment of a domain with its object version.
+// Get returns the assignment of a domain and the version of its object.
 func (b *Book) Get(domain string) (*replica.Assignment, int64, bool) {
 	return b.view.Get(keys.Domain(domain))
 }
 
-// All returns every domain's assignment.
+// All returns the assignments of all domains.
 func (b *Book) All() []*replica.Assignment { return b.view.All(keys.Domains) }
