--- a/internal/holder/keeper.go
+++ b/internal/holder/keeper.go
@@ -63,14 +63,14 @@
 func (k *Keeper) Told(version int64, record lease.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lease.Told(version, record, clock.Now())
+	k.lease.Reported(version, record, clock.Now())
 }
 
 // GivenUp records that the node by has reported that it does not hold the lease.
 func (k *Keeper) GivenUp(by string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lease.GivenUp(by)
+	k.lease.Disclaimed(by)
 }
 
 // HeldElsewhere reports whether another node holds the lease, as far as this node knows.
--- a/internal/holder/pruner.go
+++ b/internal/holder/pruner.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// heardRecently reports whether the registered process itself has been heardRecently lately.
+// heardRecently reports whether the registered process, and not a later one on the same VM, has been heard
+// from within pruneAfter.
 func (p *Pruner) heardRecently(o infra.Object, now time.Time) bool {
 	var registered membership.Member
 	if json.Unmarshal(o.Value, &registered) != nil {
--- a/internal/lease/action.go
+++ b/internal/lease/action.go
@@ -1,13 +1,13 @@
 package lease
 
-// Action is what the keeper of a Lease should do next.
+// Action is the store operation that is due for a Lease.
 type Action uint8
 
 const (
 	// Wait means nothing is due.
 	Wait Action = iota
-	// Read means the object should be read.
+	// Read means the lease object should be read.
 	Read
-	// Write means the Record returned with it should be written.
+	// Write means the Record returned with the action should be written.
 	Write
 )
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,42 +1,46 @@
-// Package lease decides who holds a lease kept as one object of the platform's store.
+// Package lease implements a lease that is stored as one object in the platform's store.
 //
-// Only durations on each process's own monotonic clock are compared: a holder counts from the instant
-// before it sent the write, everyone else from the instant it first saw the version, plus a margin.
+// Clocks of different processes are never compared, only durations on each process's own monotonic clock: the
+// holder counts the time to live from the instant before it sent the write, every other process from the
+// instant it first saw the object version, plus a margin.
 package lease
 
 import "time"
 
-// Lease is one process's view of one lease. It does no I/O and reads no clock.
+// Lease is one process's view of one lease. It does no I/O and reads no clock; the caller passes in the time.
 type Lease struct {
 	self   string
 	ttl    time.Duration
 	margin time.Duration
 
-	version  int64
-	record   Record
-	seenAt   time.Time // first sight of version
-	readAt   time.Time // last read or write that told the version
-	known    bool
-	untilBy  time.Time // held until, when epoch > 0
-	epoch    int64     // the epoch we hold or held
-	inflight map[string]time.Time
-	doubted  int64 // the version whose holder has told that it holds it no more
+	version           int64
+	record            Record
+	versionSeenAt     time.Time            // when version was first seen
+	refreshedAt       time.Time            // when a read, a write or the holder's report last confirmed version
+	known             bool                 // false before the first read or report and after a refused write
+	heldUntil         time.Time            // expiry of the lease held by this process; valid if epoch > 0
+	epoch             int64                // epoch that this process holds or last held; 0 after a release or a loss to another
+	inflight          map[string]time.Time // by operation ID: when an unanswered write was sent
+	disclaimedVersion int64                // version whose holder has reported that it does not hold the lease
 }
 
-// New returns the view of a process that has not read the object yet.
+// New returns the view of the process self, which has not read the object yet. Leases of other processes count
+// as expired after their time to live and margin.
 func New(self string, ttl, margin time.Duration) *Lease {
 	return &Lease{self: self, ttl: ttl, margin: margin, inflight: make(map[string]time.Time)}
 }
 
-// Held returns the epoch and the instant the lease ends, while it is held at now.
+// Held returns the epoch and the expiry time of the lease; ok is false unless this process holds it at now.
 func (l *Lease) Held(now time.Time) (epoch int64, until time.Time, ok bool) {
-	if l.epoch == 0 || !now.Before(l.untilBy) {
+	if l.epoch == 0 || !now.Before(l.heldUntil) {
 		return 0, time.Time{}, false
 	}
-	return l.epoch, l.untilBy, true
+	return l.epoch, l.heldUntil, true
 }
 
-// Next returns what is due at now. want says whether this process should hold the lease at all.
+// Next returns the action that is due at now. For a Write it also returns the record to write and the object
+// version on which the write must be conditional. want says whether this process should hold the lease;
+// operation is the ID given to a write.
 func (l *Lease) Next(now time.Time, want bool, operation string) (Action, Record, int64) {
 	if !l.known || len(l.inflight) > 0 {
 		return Read, Record{}, 0
@@ -46,33 +50,33 @@
 	case held && !want:
 		return Write, Record{Epoch: l.epoch, Operation: operation, TTLMillis: 0}, l.version
 	case held && until.Sub(now) < l.ttl*2/3:
-		return Write, l.claim(l.epoch, operation), l.version
+		return Write, l.claimRecord(l.epoch, operation), l.version
 	case held:
 		return Wait, Record{}, 0
-	case want && l.free(now):
-		return Write, l.claim(l.record.Epoch+1, operation), l.version
-	case now.Sub(l.readAt) >= l.ttl/3:
+	case want && l.available(now):
+		return Write, l.claimRecord(l.record.Epoch+1, operation), l.version
+	case now.Sub(l.refreshedAt) >= l.ttl/3:
 		return Read, Record{}, 0
 	default:
 		return Wait, Record{}, 0
 	}
 }
 
-func (l *Lease) claim(epoch int64, operation string) Record {
+func (l *Lease) claimRecord(epoch int64, operation string) Record {
 	return Record{Holder: l.self, Epoch: epoch, Operation: operation, TTLMillis: l.ttl.Milliseconds()}
 }
 
-// free reports whether the lease that was last seen has certainly run out.
-func (l *Lease) free(now time.Time) bool {
+// available reports whether the lease last seen has certainly expired, was released or was never held.
+func (l *Lease) available(now time.Time) bool {
 	if l.version == 0 || l.record.Holder == "" {
 		return true
 	}
 	ttl := time.Duration(l.record.TTLMillis) * time.Millisecond
-	return now.Sub(l.seenAt) > ttl+l.margin
+	return now.Sub(l.versionSeenAt) > ttl+l.margin
 }
 
-// Sending notes that record is about to be written at now. A release ends the tenure here and now:
-// its answer may be lost after another has taken over.
+// Sending records that record is about to be written at now. A release ends this process's tenure at once,
+// not with the answer, which may be lost while another process takes over.
 func (l *Lease) Sending(record Record, now time.Time) {
 	l.inflight[record.Operation] = now
 	if record.Holder == "" {
@@ -80,61 +84,63 @@
 	}
 }
 
-// Observed takes in the object as read, with the answer in at that instant; version 0 means absent.
-// A write of ours whose answer was lost shows here by its operation.
+// Observed records the object as read, with the answer received at the instant at; version 0 means that the
+// object does not exist. A write of this process whose answer was lost is recognised by its operation ID.
 func (l *Lease) Observed(version int64, record Record, at time.Time) {
-	l.readAt = at
+	l.refreshedAt = at
 	l.known = true
 	if version <= l.version && version != 0 {
-		l.resolve(at)
+		l.dropExpiredWrites(at)
 		return
 	}
 	l.version = version
 	l.record = record
-	l.seenAt = at
+	l.versionSeenAt = at
 	sent, ours := l.inflight[record.Operation]
 	if ours && record.Holder == l.self {
 		l.epoch = record.Epoch
-		l.untilBy = sent.Add(time.Duration(record.TTLMillis) * time.Millisecond)
+		l.heldUntil = sent.Add(time.Duration(record.TTLMillis) * time.Millisecond)
 	} else {
 		l.epoch = 0
 	}
 	clear(l.inflight)
 }
 
-// Told takes in that the holder itself has told another process of a version of the object, heard at that instant.
-// Whoever contends for the lease after the holder's death then need not first read the object and wait out a term
-// from there. A version that is not the latest does no harm: a write that is conditional on it is refused.
-func (l *Lease) Told(version int64, record Record, at time.Time) {
+// Reported records a version of the object that the lease's holder reported to this process, received at the
+// instant at. After a failure of the holder, this process then need not first read the object and wait a full
+// time to live from the read. A report of an outdated version is harmless: a write conditional on it is refused.
+func (l *Lease) Reported(version int64, record Record, at time.Time) {
 	if version <= l.version || len(l.inflight) > 0 || record.Holder == l.self {
 		return
 	}
 	l.version = version
 	l.record = record
-	l.seenAt = at
-	l.readAt = at
+	l.versionSeenAt = at
+	l.refreshedAt = at
 	l.known = true
 	l.epoch = 0
 }
 
-// HeldElsewhere reports whether the lease that was last seen is another process's, may not have run out, and has not been given up.
+// HeldElsewhere reports whether another process holds the lease according to the version last seen: the lease may
+// not have expired yet, and its holder has neither released it nor reported that it does not hold it.
 func (l *Lease) HeldElsewhere(now time.Time) bool {
-	return l.known && l.record.Holder != l.self && l.doubted != l.version && !l.free(now)
+	return l.known && l.record.Holder != l.self && l.disclaimedVersion != l.version && !l.available(now)
 }
 
-// GivenUp takes in that a process has told another one that it does not hold the lease.
-func (l *Lease) GivenUp(by string) {
+// Disclaimed records that the process by has reported that it does not hold the lease.
+func (l *Lease) Disclaimed(by string) {
 	if l.record.Holder == by {
-		l.doubted = l.version
+		l.disclaimedVersion = l.version
 	}
 }
 
-// Latest returns the version and record of the object as last seen.
+// Latest returns the version and the record of the object as last seen.
 func (l *Lease) Latest() (int64, Record) { return l.version, l.record }
 
-// resolve forgets writes in flight that are older than any answer may be late; while they could still
-// take effect the version shown by the object decides, because every write is conditional on it.
-func (l *Lease) resolve(at time.Time) {
+// dropExpiredWrites removes writes in flight that were sent more than the time to live ago: an answer is never
+// that late. While a write could still take effect, the object's version decides, because every write is
+// conditional on it.
+func (l *Lease) dropExpiredWrites(at time.Time) {
 	for op, sent := range l.inflight {
 		if at.Sub(sent) > l.ttl {
 			delete(l.inflight, op)
@@ -142,12 +148,13 @@
 	}
 }
 
-// Applied notes that the write of operation took effect and gave the object that version.
+// Applied records that the write of record took effect and gave the object this version, with the answer received at
+// the instant at.
 func (l *Lease) Applied(version int64, record Record, at time.Time) {
 	l.Observed(version, record, at)
 }
 
-// Refused notes that the write did not take effect; the object must be read again.
+// Refused records that the write with this operation ID did not take effect; the object must be read again.
 func (l *Lease) Refused(operation string) {
 	delete(l.inflight, operation)
 	l.known = false
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -17,20 +17,20 @@
 	margin = 300 * time.Millisecond
 )
 
-// write is a conditional write on its way to the store.
+// write is a conditional write that has not reached the store yet.
 type write struct {
 	node      int
 	record    lease.Record
 	ifVersion int64
 }
 
-// fleet is a store with one lease object, and nodes whose writes are delayed, lost or answered late.
+// fleet simulates a store with one lease object, and nodes whose writes are delayed or whose answers are lost.
 type fleet struct {
 	now     time.Time
 	version int64
 	record  lease.Record
 	nodes   []*lease.Lease
-	wire    []write
+	delayed []write
 	ops     int
 	epochs  map[int64]int // epoch → node that held it
 }
@@ -57,7 +57,7 @@
 		l.Sending(record, f.now)
 		w := write{node, record, ifVersion}
 		if !deliver {
-			f.wire = append(f.wire, w)
+			f.delayed = append(f.delayed, w)
 			return
 		}
 		applied := f.apply(w)
@@ -100,15 +100,15 @@
 	}
 }
 
-// tell lets a holder tell the other nodes of its lease.
-func (f *fleet) tell(node int) {
+// reportToOthers reports the lease to all other nodes if node holds it.
+func (f *fleet) reportToOthers(node int) {
 	if _, _, ok := f.nodes[node].Held(f.now); !ok {
 		return
 	}
 	version, record := f.nodes[node].Latest()
 	for i, l := range f.nodes {
 		if i != node {
-			l.Told(version, record, f.now)
+			l.Reported(version, record, f.now)
 		}
 	}
 }
@@ -118,30 +118,30 @@
 		f := newFleet(3)
 		for range rapid.IntRange(50, 300).Draw(t, "steps") {
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
-			if len(f.wire) > 0 && rapid.Bool().Draw(t, "late") {
-				f.apply(f.wire[0])
-				f.wire = f.wire[1:]
+			if len(f.delayed) > 0 && rapid.Bool().Draw(t, "late") {
+				f.apply(f.delayed[0])
+				f.delayed = f.delayed[1:]
 			}
 			node := rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node") // a node not drawn is paused
-			fate := rapid.IntRange(0, 9).Draw(t, "fate")
+			delivery := rapid.IntRange(0, 9).Draw(t, "fate")
 			want := rapid.IntRange(0, 4).Draw(t, "want") > 0
-			f.step(node, fate != 0, fate > 1, want)
+			f.step(node, delivery != 0, delivery > 1, want)
 			f.check(t)
 			if rapid.Bool().Draw(t, "tell") {
-				f.tell(node)
+				f.reportToOthers(node)
 				f.check(t)
 			}
 		}
 	})
 }
 
-func TestLostAnswerIsFoundByOperation(t *testing.T) {
+func TestWriteWithLostAnswerIsRecognisedByOperation(t *testing.T) {
 	f := newFleet(1)
 	f.step(0, true, true, true)  // read
-	f.step(0, true, false, true) // written, answer lost
+	f.step(0, true, false, true) // the write is applied, its answer is lost
 	_, _, held := f.nodes[0].Held(f.now)
 	qt.Assert(t, held, qt.IsFalse)
-	f.step(0, true, true, true) // read back
+	f.step(0, true, true, true) // the read shows the write
 	epoch, until, held := f.nodes[0].Held(f.now)
 	qt.Assert(t, held, qt.IsTrue)
 	qt.Assert(t, epoch, qt.Equals, int64(1))
@@ -152,21 +152,21 @@
 	f := newFleet(2)
 	f.step(0, true, true, true) // read
 	f.step(0, true, true, true) // written
-	f.tell(0)
+	f.reportToOthers(0)
 	f.now = f.now.Add(ttl + margin + time.Millisecond)
-	f.step(1, true, true, true) // the very first step writes
+	f.step(1, true, true, true) // the first step writes, without a read
 	epoch, _, held := f.nodes[1].Held(f.now)
 	qt.Assert(t, held, qt.IsTrue)
 	qt.Assert(t, epoch, qt.Equals, int64(2))
 }
 
-func TestSuccessorThatWasToldOfAnEarlierVersionIsRefused(t *testing.T) {
+func TestWriteConditionalOnOutdatedReportIsRefused(t *testing.T) {
 	f := newFleet(2)
 	f.step(0, true, true, true) // read
 	f.step(0, true, true, true) // written
-	f.tell(0)
+	f.reportToOthers(0)
 	f.now = f.now.Add(ttl - time.Millisecond)
-	f.step(0, true, true, true) // renewed, and nobody told
+	f.step(0, true, true, true) // renewal that is not reported
 	f.now = f.now.Add(margin + 2*time.Millisecond)
 	f.step(1, true, true, true)
 	_, _, held := f.nodes[1].Held(f.now)
@@ -175,17 +175,17 @@
 	qt.Check(t, held, qt.IsTrue)
 }
 
-func TestPausedHolderKnowsItHasLapsed(t *testing.T) {
+func TestPausedHolderDetectsExpiry(t *testing.T) {
 	f := newFleet(2)
 	f.step(0, true, true, true)
 	f.step(0, true, true, true)
 	f.now = f.now.Add(ttl)
 	_, _, held := f.nodes[0].Held(f.now)
 	qt.Assert(t, held, qt.IsFalse)
-	f.step(1, true, true, true) // first sight
+	f.step(1, true, true, true) // first read of the object
 	f.step(1, true, true, true)
 	_, _, held = f.nodes[1].Held(f.now)
-	qt.Assert(t, held, qt.IsFalse, qt.Commentf("the other node has not yet waited the term out"))
+	qt.Assert(t, held, qt.IsFalse, qt.Commentf("the time to live has not passed since the other node's first read"))
 	f.now = f.now.Add(ttl + margin + time.Millisecond)
 	f.step(1, true, true, true)
 	epoch, _, held := f.nodes[1].Held(f.now)
@@ -193,19 +193,19 @@
 	qt.Assert(t, epoch, qt.Equals, int64(2))
 }
 
-func TestHeldElsewhereUntilItHasRunOutOrItsHolderSaysOtherwise(t *testing.T) {
+func TestHeldElsewhereUntilExpiryDisclaimerOrRelease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := lease.New("n0", ttl, margin)
-	qt.Check(t, l.HeldElsewhere(now), qt.IsFalse, qt.Commentf("nothing is known"))
+	qt.Check(t, l.HeldElsewhere(now), qt.IsFalse, qt.Commentf("before the first read"))
 	l.Observed(7, lease.Record{Holder: "n1", Epoch: 3, TTLMillis: ttl.Milliseconds()}, now)
 	qt.Check(t, l.HeldElsewhere(now.Add(ttl+margin)), qt.IsTrue)
-	qt.Check(t, l.HeldElsewhere(now.Add(ttl+margin+time.Millisecond)), qt.IsFalse, qt.Commentf("it has run out"))
-	l.GivenUp("n2")
-	qt.Check(t, l.HeldElsewhere(now), qt.IsTrue, qt.Commentf("that one did not hold it"))
-	l.GivenUp("n1")
+	qt.Check(t, l.HeldElsewhere(now.Add(ttl+margin+time.Millisecond)), qt.IsFalse, qt.Commentf("after expiry"))
+	l.Disclaimed("n2")
+	qt.Check(t, l.HeldElsewhere(now), qt.IsTrue, qt.Commentf("a disclaimer of a node that is not the holder has no effect"))
+	l.Disclaimed("n1")
 	qt.Check(t, l.HeldElsewhere(now), qt.IsFalse)
 	l.Observed(8, lease.Record{Holder: "n1", Epoch: 3, TTLMillis: ttl.Milliseconds()}, now)
-	qt.Check(t, l.HeldElsewhere(now), qt.IsTrue, qt.Commentf("it has been renewed since"))
+	qt.Check(t, l.HeldElsewhere(now), qt.IsTrue, qt.Commentf("renewed after the disclaimer"))
 	l.Observed(9, lease.Record{Epoch: 3}, now)
-	qt.Check(t, l.HeldElsewhere(now), qt.IsFalse, qt.Commentf("it was released"))
+	qt.Check(t, l.HeldElsewhere(now), qt.IsFalse, qt.Commentf("after a release"))
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -1,9 +1,9 @@
 package lease
 
-// Record is the lease object's value.
+// Record is the value stored in the lease object.
 type Record struct {
-	Holder    string `json:"holder"` // empty: released
-	Epoch     int64  `json:"epoch"`  // grows with every change of hands
-	Operation string `json:"operation"`
-	TTLMillis int64  `json:"ttl_ms"`
+	Holder    string `json:"holder"`    // VM name of the holder; empty after a release
+	Epoch     int64  `json:"epoch"`     // increases with every change of holder
+	Operation string `json:"operation"` // ID of the write
+	TTLMillis int64  `json:"ttl_ms"`    // time to live in milliseconds from the write
 }
