--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -1,5 +1,6 @@
-// Package observer polls the engine VMs of the fabric domains that fall to this node and says which
-// replica groups are whole. It needs no lease and goes on while the platform's store is down.
+// Package observer polls the engine VMs of the fabric domains assigned to this node and publishes which replica
+// groups are whole, that is, have all their VMs ready. It needs no lease and keeps working while the platform's
+// store is down.
 package observer
 
 import (
@@ -21,76 +22,76 @@
 )
 
 const (
-	// observersADomain is how many nodes look at each domain, so that one may die unnoticed. The second looks
-	// half an interval less often: it only has to keep the evidence alive until it is the first.
-	observersADomain = 2
-	reviewEvery      = 500 * time.Millisecond
-	maxPolls         = 64 // at a time
+	// observersPerDomain is how many nodes poll each domain, so that the failure of one has no effect. The second
+	// one's interval is longer by half: it only has to keep the evidence from expiring until it becomes the first.
+	observersPerDomain = 2
+	reviewInterval     = 500 * time.Millisecond
+	maxConcurrentPolls = 64 // per domain
 )
 
-// Observer watches engines.
+// Observer polls the engine VMs of its domains and publishes evidence about their replica groups.
 type Observer struct {
-	fleet    *peer.Fleet
-	engine   infra.Engine
-	book     *domains.Book
-	config   func() *config.Config
-	orphans  *membership.Orphans
-	every    time.Duration
-	lifetime time.Duration
+	fleet            *peer.Fleet
+	engine           infra.Engine
+	book             *domains.Book
+	config           func() *config.Config
+	orphans          *membership.Orphans
+	pollInterval     time.Duration
+	evidenceLifetime time.Duration
 
 	mu       sync.Mutex
 	sequence uint64
-	running  map[string]watch
+	watches  map[string]domainWatch
 	wg       sync.WaitGroup
 }
 
-// New returns an Observer that polls each VM every so often and gives evidence of that lifetime,
-// counted from the oldest last answer among a group's members.
+// New returns an Observer that polls each VM at the interval every. Its evidence for a group expires when
+// lifetime has passed since the oldest of the last answers of the group's VMs.
 func New(fleet *peer.Fleet, engine infra.Engine, book *domains.Book, current func() *config.Config, orphans *membership.Orphans, every, lifetime time.Duration) *Observer {
 	return &Observer{
-		fleet: fleet, engine: engine, book: book, config: current, orphans: orphans, every: every, lifetime: lifetime,
-		running: make(map[string]watch),
+		fleet: fleet, engine: engine, book: book, config: current, orphans: orphans, pollInterval: every, evidenceLifetime: lifetime,
+		watches: make(map[string]domainWatch),
 	}
 }
 
-// watch is one domain being looked at.
-type watch struct {
-	every  time.Duration
-	cancel context.CancelFunc
+// domainWatch is the running poll loop of one domain.
+type domainWatch struct {
+	interval time.Duration
+	cancel   context.CancelFunc
 }
 
-// Run observes until ctx ends.
+// Run polls the assigned domains until ctx is done.
 func (o *Observer) Run(ctx context.Context) error {
-	loop.Every(ctx, reviewEvery, func(now time.Time) { o.review(ctx, now) })
+	loop.Every(ctx, reviewInterval, func(now time.Time) { o.updateWatches(ctx, now) })
 	o.wg.Wait()
 	return nil
 }
 
-// review starts and stops watches so that this node looks at the domains that fall to it.
-func (o *Observer) review(ctx context.Context, now time.Time) {
-	wanted := o.mine(now)
-	for domain, w := range o.running {
-		if wanted[domain] == w.every {
+// updateWatches starts and stops poll loops so that this node polls exactly the domains assigned to it.
+func (o *Observer) updateWatches(ctx context.Context, now time.Time) {
+	wanted := o.assignedDomains(now)
+	for domain, w := range o.watches {
+		if wanted[domain] == w.interval {
 			continue
 		}
 		w.cancel()
-		delete(o.running, domain)
+		delete(o.watches, domain)
 		if wanted[domain] == 0 {
 			o.fleet.Outgoing.Drop(domain)
 		}
 	}
 	for domain, every := range wanted {
-		if _, ok := o.running[domain]; ok {
+		if _, ok := o.watches[domain]; ok {
 			continue
 		}
 		watchCtx, cancel := context.WithCancel(ctx)
-		o.running[domain] = watch{every, cancel}
-		o.wg.Go(func() { o.watch(watchCtx, domain, every) })
+		o.watches[domain] = domainWatch{every, cancel}
+		o.wg.Go(func() { o.pollDomain(watchCtx, domain, every) })
 	}
 }
 
-// mine returns the domains that fall to this node, with how often to look at each.
-func (o *Observer) mine(now time.Time) map[string]time.Duration {
+// assignedDomains returns the domains assigned to this node, with the poll interval of each.
+func (o *Observer) assignedDomains(now time.Time) map[string]time.Duration {
 	c := o.config()
 	if c == nil {
 		return nil
@@ -107,34 +108,34 @@
 		}
 		purpose := "observe/" + name
 		if d.DataCentre != self.DataCentre {
-			purpose = "guard/" + d.DataCentre // the one that decides for it looks itself
+			purpose = "guard/" + d.DataCentre // the same ranking as for the lease, so that the node that decides also polls
 		}
 		ranked := membership.Rank(purpose, guardians[d.DataCentre])
-		for i, m := range ranked[:min(observersADomain, len(ranked))] {
+		for i, m := range ranked[:min(observersPerDomain, len(ranked))] {
 			if m.VM == self.VM {
-				out[name] = o.every + o.every/2*time.Duration(i)
+				out[name] = o.pollInterval + o.pollInterval/2*time.Duration(i)
 			}
 		}
 	}
 	return out
 }
 
-// watch polls one domain's VMs until ctx ends.
-func (o *Observer) watch(ctx context.Context, domain string, every time.Duration) {
+// pollDomain polls one domain's VMs at the given interval until ctx is done.
+func (o *Observer) pollDomain(ctx context.Context, domain string, every time.Duration) {
 	views := &vmViews{vms: make(map[string]replica.VMView)}
 	loop.Every(ctx, every, func(time.Time) {
 		if c := o.config(); c != nil {
 			if d, ok := c.Domains()[domain]; ok {
-				o.look(ctx, d, views)
+				o.pollOnce(ctx, d, views)
 			}
 		}
 	})
 }
 
-// look polls every VM of the domain once and publishes what they say.
-func (o *Observer) look(ctx context.Context, d config.DomainOf, views *vmViews) {
+// pollOnce polls every VM of the domain once and publishes the results.
+func (o *Observer) pollOnce(ctx context.Context, d config.DomainOf, views *vmViews) {
 	var polls errgroup.Group
-	polls.SetLimit(maxPolls)
+	polls.SetLimit(maxConcurrentPolls)
 	for _, vm := range d.VMs {
 		polls.Go(func() error {
 			sent := clock.Now()
@@ -153,30 +154,31 @@
 
 func (o *Observer) publish(domain string, vms map[string]replica.VMView) {
 	now := clock.Now()
-	look := evidence.Look{Domain: domain, Observer: peer.ObserverName(o.fleet.Members.Self(now)), Near: true}
+	observation := evidence.Look{Domain: domain, Observer: peer.ObserverName(o.fleet.Members.Self(now)), Near: true}
 	if a, _, ok := o.book.Get(domain); ok {
-		look.Generation = a.Generation
+		observation.Generation = a.Generation
 		for _, g := range a.Groups {
 			if g.State != replica.Draining {
-				look.Groups = append(look.Groups, o.judge(g, vms, now))
+				observation.Groups = append(observation.Groups, o.groupEvidence(g, vms, now))
 			}
 		}
 	}
 	o.mu.Lock()
 	o.sequence++
-	look.Sequence = o.sequence
+	observation.Sequence = o.sequence
 	o.mu.Unlock()
-	o.fleet.Looks.Put(look, now)
+	o.fleet.Looks.Put(observation, now)
 	for vm, v := range vms {
 		o.fleet.Reports.Put(vm, v)
 	}
-	o.fleet.Outgoing.Put(look, vms)
+	o.fleet.Outgoing.Put(observation, vms)
 }
 
-// judge says until when routers may use the group: its lifetime after the oldest of its members' last answers.
-func (o *Observer) judge(g *replica.Group, vms map[string]replica.VMView, now time.Time) evidence.Group {
+// groupEvidence returns the evidence for a group: routers may use it until the evidence lifetime has passed since
+// the oldest of its VMs' last answers. A group that is not whole gets a zero expiry time.
+func (o *Observer) groupEvidence(g *replica.Group, vms map[string]replica.VMView, now time.Time) evidence.Group {
 	out := evidence.Group{ID: g.ID, Birth: g.Birth}
-	if !replica.Whole(g, vms, now, o.lifetime) {
+	if !replica.Whole(g, vms, now, o.evidenceLifetime) {
 		return out
 	}
 	oldest := now
@@ -185,7 +187,7 @@
 			oldest = at
 		}
 	}
-	out.Expires = oldest.Add(o.lifetime)
+	out.Expires = oldest.Add(o.evidenceLifetime)
 	leader := vms[g.VMs[0]].State
 	out.Running, out.Waiting = uint32(leader.Running), uint32(leader.Waiting)
 	return out
--- a/internal/observer/vm_views.go
+++ b/internal/observer/vm_views.go
@@ -7,7 +7,7 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// vmViews holds the last answer of each VM of a domain.
+// vmViews holds the last answer of each VM of a domain, by VM name. It is safe for concurrent use.
 type vmViews struct {
 	mu  sync.Mutex
 	vms map[string]replica.VMView
