--- a/internal/evidence/reports.go
+++ b/internal/evidence/reports.go
@@ -6,7 +6,7 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// Reports holds the latest report of each engine VM, for the lease holder.
+// Reports holds the latest report of each engine VM. The lease holder plans from it.
 type Reports struct {
 	mu  sync.RWMutex
 	vms map[string]replica.VMView
@@ -17,7 +17,7 @@
 	return &Reports{vms: make(map[string]replica.VMView)}
 }
 
-// Put takes in a report unless a later answer of the VM is held.
+// Put stores a report unless the stored one contains a later answer of the VM.
 func (r *Reports) Put(vm string, view replica.VMView) {
 	if !view.Answered {
 		return
@@ -30,7 +30,7 @@
 	r.vms[vm] = view
 }
 
-// Get returns the latest report of vm, zero when there is none.
+// Get returns the latest report of vm, or the zero value if there is none.
 func (r *Reports) Get(vm string) replica.VMView {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -1,7 +1,7 @@
-// Package evidence keeps what observers say about replica groups: for how long routers may use each.
+// Package evidence stores the observations of replica groups, which say until when routers may use each group.
 //
-// A group without live evidence is not used. Evidence ends by itself, so a group goes out of use
-// within its lifetime after a member's last answer, whoever has died or is cut off.
+// A group without unexpired evidence is not used. Since evidence expires without any message, a group goes out of
+// use within the evidence lifetime after a member's last answer, whichever process has failed or is unreachable.
 package evidence
 
 import (
@@ -13,10 +13,11 @@
 
 const shardCount = 16
 
-// keep is how long an expired look is kept, so that a late copy of it is still known to be old.
-const keep = 30 * time.Second
+// retention is how long an observation is kept after it was stored, also when it has expired, so that a delayed
+// copy is still recognised as old.
+const retention = 30 * time.Second
 
-// Table holds the latest look of each observer at each domain.
+// Table holds the latest observation by each observer of each domain.
 type Table struct {
 	shards [shardCount]shard
 
@@ -25,11 +26,11 @@
 }
 
 type shard struct {
-	mu    sync.RWMutex
-	looks map[string]map[string]heldLook // by domain and observer
+	mu           sync.RWMutex
+	observations map[string]map[string]storedObservation // by domain, then by observer
 }
 
-type heldLook struct {
+type storedObservation struct {
 	Look
 	stored   time.Time
 	sequence uint64
@@ -39,7 +40,7 @@
 func NewTable() *Table {
 	t := &Table{}
 	for i := range t.shards {
-		t.shards[i].looks = make(map[string]map[string]heldLook)
+		t.shards[i].observations = make(map[string]map[string]storedObservation)
 	}
 	return t
 }
@@ -48,31 +49,33 @@
 	return &t.shards[xxhash.Sum64String(domain)%shardCount]
 }
 
-// Put takes in a look unless a later one of the same observer is held. Copies of one look that came
-// by different ways are merged to the longest expiry, each being a safe bound.
+// Put stores an observation unless a later one by the same observer is stored, and reports whether it changed the
+// table. Copies of one observation that arrived over different links are merged: each group gets the latest
+// expiry time, since each copy's is a safe bound.
 func (t *Table) Put(l Look, now time.Time) bool {
 	s := t.shard(l.Domain)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.looks[l.Domain] == nil {
-		s.looks[l.Domain] = make(map[string]heldLook)
+	if s.observations[l.Domain] == nil {
+		s.observations[l.Domain] = make(map[string]storedObservation)
 	}
-	held, ok := s.looks[l.Domain][l.Observer]
+	held, ok := s.observations[l.Domain][l.Observer]
 	if ok && held.Sequence > l.Sequence {
 		return false
 	}
-	if ok && held.Sequence == l.Sequence && !extend(&l, held.Look) {
+	if ok && held.Sequence == l.Sequence && !mergeExpiries(&l, held.Look) {
 		return false
 	}
 	t.mu.Lock()
 	t.sequence++
-	s.looks[l.Domain][l.Observer] = heldLook{l, now, t.sequence}
+	s.observations[l.Domain][l.Observer] = storedObservation{l, now, t.sequence}
 	t.mu.Unlock()
 	return true
 }
 
-// extend raises the expiries of l to those of held, and reports whether l was later anywhere.
-func extend(l *Look, held Look) bool {
+// mergeExpiries sets the expiry time of each group in l to the later of those in l and held. It reports whether
+// that of l was the later one for any group.
+func mergeExpiries(l *Look, held Look) bool {
 	if len(l.Groups) != len(held.Groups) {
 		return false
 	}
@@ -88,14 +91,14 @@
 	return later
 }
 
-// Group returns the evidence for a group of a domain, whose birth must match.
+// Group returns the evidence with the latest expiry time for a group of a domain. The birth number must match.
 func (t *Table) Group(domain, id string, birth int64) (Group, bool) {
 	s := t.shard(domain)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	best, found := Group{}, false
-	for _, look := range s.looks[domain] {
-		for _, g := range look.Groups {
+	for _, observation := range s.observations[domain] {
+		for _, g := range observation.Groups {
 			if g.ID == id && g.Birth == birth && (!found || g.Expires.After(best.Expires)) {
 				best, found = g, true
 			}
@@ -104,7 +107,7 @@
 	return best, found
 }
 
-// Since returns the looks stored after that sequence, and the newest sequence.
+// Since returns the observations stored after the given sequence number of the table, and the newest one.
 func (t *Table) Since(sequence uint64) ([]Look, uint64) {
 	t.mu.Lock()
 	newest := t.sequence
@@ -116,7 +119,7 @@
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.RLock()
-		for _, observers := range s.looks {
+		for _, observers := range s.observations {
 			for _, l := range observers {
 				if l.sequence > sequence && l.sequence <= newest {
 					out = append(out, l.Look)
@@ -128,19 +131,19 @@
 	return out, newest
 }
 
-// Sweep forgets looks that ended long ago.
+// Sweep removes observations that were stored longer than retention ago.
 func (t *Table) Sweep(now time.Time) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
-		for domain, observers := range s.looks {
+		for domain, observers := range s.observations {
 			for observer, l := range observers {
-				if now.Sub(l.stored) > keep {
+				if now.Sub(l.stored) > retention {
 					delete(observers, observer)
 				}
 			}
 			if len(observers) == 0 {
-				delete(s.looks, domain)
+				delete(s.observations, domain)
 			}
 		}
 		s.mu.Unlock()
