--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -155,9 +155,9 @@
 		return true
 	}
 	if f.ran > 0 {
-		f.fail(ctx, "the last endpoint did not run the request")
+		f.fail(ctx, "the last endpoint did not run it")
 		return false
 	}
-	f.refuse(Refusal{Reason: NotRun, Detail: "the endpoint did not run the request", RetryAfter: defaultRetryAfter})
+	f.refuse(Refusal{Reason: NotRun, Detail: "the endpoint did not run it", RetryAfter: defaultRetryAfter})
 	return false
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -51,7 +51,7 @@
 	}
 	if !f.begun {
 		if err := f.exchange.Begin(reply); err != nil {
-			f.log("caller disconnected", false, "err", err)
+			f.log("caller lost", false, "err", err)
 			return false
 		}
 		f.begun = true
