--- a/internal/formation/candidate.go
+++ b/internal/formation/candidate.go
@@ -97,7 +97,7 @@
 		if lost == 0 {
 			continue
 		}
-		if left := p.potentialPressure(v, copies, other, lost); left > targetUtilisation && need < evictionPressureRatio*left {
+		if remaining := p.potentialPressure(v, copies, other, lost); remaining > targetUtilisation && need < evictionPressureRatio*remaining {
 			return false
 		}
 	}
@@ -108,21 +108,21 @@
 // first, then those that could serve no other model, then those ready soonest. While requests arrive, endpoints that
 // would first have to load the model from the weight store are not considered; before the first request loads are fast.
 func (p *Planner) fit(v *View, free []*endpoint.Endpoint, m route.Model) []*endpoint.Endpoint {
-	var able []*endpoint.Endpoint
+	var eligible []*endpoint.Endpoint
 	for _, e := range free {
 		if !v.Busy || e.Holds(m.Name) || e.HasStaged(m.Name) && !p.isLoading(e) {
-			able = append(able, e)
+			eligible = append(eligible, e)
 		}
 	}
-	if m.Size <= 0 || len(able) < m.Size {
+	if m.Size <= 0 || len(eligible) < m.Size {
 		return nil
 	}
-	slices.SortStableFunc(able, func(a, b *endpoint.Endpoint) int {
+	slices.SortStableFunc(eligible, func(a, b *endpoint.Endpoint) int {
 		evictsA, hasA := p.countOthers(v, a, m)
 		evictsB, hasB := p.countOthers(v, b, m)
 		return cmp.Or(cmp.Compare(evictsA, evictsB), cmp.Compare(hasA, hasB), warmth(b, m)-warmth(a, m))
 	})
-	return able[:m.Size:m.Size]
+	return eligible[:m.Size:m.Size]
 }
 
 // countOthers counts the other models that the endpoint would evict in a group of m, and those that it would keep.
--- a/internal/formation/capability.go
+++ b/internal/formation/capability.go
@@ -12,15 +12,15 @@
 // hasCopy reports whether the endpoint could serve the model without loading it from the weight store.
 func hasCopy(e *endpoint.Endpoint, m route.Model) bool { return e.Holds(m.Name) || e.HasStaged(m.Name) }
 
-// evicts reports whether joining a group of the model joins would make the endpoint lose m: the endpoint holds m, and m
-// is not staged on its host.
-func evicts(e *endpoint.Endpoint, joins, m route.Model) bool {
-	return joins.Name != "" && joins.Name != m.Name && e.Holds(m.Name) && !e.HasStaged(m.Name)
+// evicts reports whether joining a group of newModel would make the endpoint lose m: the endpoint holds m, and m is not
+// staged on its host.
+func evicts(e *endpoint.Endpoint, newModel, m route.Model) bool {
+	return newModel.Name != "" && newModel.Name != m.Name && e.Holds(m.Name) && !e.HasStaged(m.Name)
 }
 
 // modelCopies counts the endpoints of each domain that have a copy of a model, whatever they do now. Only loads of
-// weights add copies, and few of those can run: a change of model that loses more copies than it serves is not worth
-// it.
+// weights add copies, and there are few of those, so a change of model that loses more copies than it puts to use is
+// not worthwhile.
 type modelCopies map[string]map[string]int // by model, by domain
 
 // countCopies counts the live endpoints that have, or are being given, a copy of each model. The result is cached for
@@ -34,12 +34,12 @@
 		p.copies[m.Name] = make(map[string]int)
 	}
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if e.Draining || v.down(e.ID) {
+		if e.Draining || v.isDown(e.ID) {
 			continue
 		}
-		joins := p.plannedModel(v, e)
+		newModel := p.plannedModel(v, e)
 		for _, m := range v.Service.Engine.Models {
-			if !evicts(e, joins, m) && (hasCopy(e, m) || p.stagings[e.ID].model == m.Name) {
+			if !evicts(e, newModel, m) && (hasCopy(e, m) || p.stagings[e.ID].model == m.Name) {
 				p.copies[m.Name][e.Domain]++
 			}
 		}
@@ -60,11 +60,11 @@
 // removeEvicted subtracts the copies that the members of a new plan will evict. All members are live, because plans
 // contain no others.
 func (c modelCopies) removeEvicted(v *View, pl *plan) {
-	joins, _ := v.Service.Engine.Model(pl.model)
+	newModel, _ := v.Service.Engine.Model(pl.model)
 	for name, domains := range c {
 		m, _ := v.Service.Engine.Model(name)
 		for _, e := range pl.members {
-			if evicts(e, joins, m) {
+			if evicts(e, newModel, m) {
 				domains[e.Domain]--
 			}
 		}
@@ -80,14 +80,14 @@
 	return n
 }
 
-// groupsLost returns by how much maxGroups would fall if that many endpoints of the domain evicted the model.
+// groupsLost returns by how much maxGroups would fall if the given number of endpoints of the domain evicted the model.
 func (c modelCopies) groupsLost(m route.Model, domain string, endpoints int) int {
 	size := max(1, m.Size)
 	have := c[m.Name][domain]
 	return have/size - max(0, have-endpoints)/size
 }
 
-// potentialPressure returns the pressure of the model if it had every endpoint with a copy, less that many groups.
+// potentialPressure returns the pressure of the model if it had every endpoint with a copy, less groupsRemoved groups.
 func (p *Planner) potentialPressure(v *View, c modelCopies, m route.Model, groupsRemoved int) float64 {
 	groups := max(0, c.maxGroups(m)-groupsRemoved)
 	return p.pressure(v, m, map[string]int{m.Name: groups * m.Size})
--- a/internal/formation/commitments_test.go
+++ b/internal/formation/commitments_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// checkCommitments compares the index of what plans and retirements bind with what these say.
+// checkCommitments compares the index of endpoints with the plans and retirements.
 func checkCommitments(p *Planner, fail func(format string, args ...any)) {
 	want := newCommitments()
 	for _, pl := range p.plans {
@@ -17,25 +17,25 @@
 	}
 	for id := range want.planByMember {
 		if p.commitments.planByMember[id] != want.planByMember[id] {
-			fail("%s is planned with and not known as such", id)
+			fail("endpoint %s is a member of a plan that the index lacks", id)
 		}
 	}
 	for id, n := range want.retirementsByHead {
 		if p.commitments.retirementsByHead[id] != n {
-			fail("%s heads %d groups that retire, %d are known", id, n, p.commitments.retirementsByHead[id])
+			fail("endpoint %s heads %d retiring groups, the index has %d", id, n, p.commitments.retirementsByHead[id])
 		}
 	}
 	if len(p.commitments.planByMember) != len(want.planByMember) || len(p.commitments.retirementsByHead) != len(want.retirementsByHead) {
-		fail("bonds are known that nothing binds")
+		fail("the index has entries without a plan or retirement")
 	}
 }
 
-// What the leader does to plan a fleet's groups grows with the fleet. The allocations of one step stand for its work: they
-// do not depend on how fast the machine is.
-func TestWorkOfTheFirstStepGrowsAsTheFleet(t *testing.T) {
+// The leader's work to plan a fleet's groups must not grow faster than the fleet. It is measured by the allocations of
+// one step, which do not depend on the speed of the processor.
+func TestFirstStepCostIsLinearInFleetSize(t *testing.T) {
 	allocations := func(endpoints int) float64 {
 		return testing.AllocsPerRun(1, func() {
-			_, p, v := starting(endpoints)
+			_, p, v := startingFleet(endpoints)
 			p.Step(v)
 		})
 	}
--- a/internal/formation/completion.go
+++ b/internal/formation/completion.go
@@ -14,7 +14,7 @@
 // shortfall is what a domain lacks for one more group of a model.
 type shortfall struct {
 	model    route.Model
-	missing  int                  // number of endpoints without the model
+	missing  int                  // number of endpoints that still have to load the model
 	loadable []*endpoint.Endpoint // free endpoints that could load the model, those with the fewest models first
 	cost     float64              // seconds of loading, divided by the pressure of the model
 }
@@ -51,7 +51,7 @@
 	for _, e := range list {
 		current, busy := p.stagings[e.ID]
 		switch {
-		case e.Draining || v.down(e.ID) || e.Holds(m.Name) && !p.isFree(v, e):
+		case e.Draining || v.isDown(e.ID) || e.Holds(m.Name) && !p.isFree(v, e):
 		case warmth(e, m) > 0, current.model == m.Name:
 			available++
 		case !busy && p.isFree(v, e):
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -18,59 +18,60 @@
 )
 
 const (
-	stepEvery = 60 * time.Millisecond
-	// FreshEnough is how old the copy of the endpoints' list may be for decisions.
+	stepInterval = 60 * time.Millisecond
+	// FreshEnough is the maximum age of the copy of the endpoint list for decisions.
 	FreshEnough = 2500 * time.Millisecond
-	// awayFor is how old the copy may get until the store counts as having been away. It is less than the age from which
-	// package follow holds removals back.
-	awayFor = 2 * time.Second
-	// askEvery is the least time between two questions to one endpoint.
-	askEvery = 250 * time.Millisecond
-	askWait  = 300 * time.Millisecond
-	// askOthersAfter is how late an endpoint's answer has to be for the other nodes to be asked beside it: live ones answer
-	// within some ten milliseconds. A lost member is known 200 ms sooner than if the others were asked after askWait.
-	askOthersAfter = 80 * time.Millisecond
-	orderWait      = 700 * time.Millisecond
-	// ordersAtOnce and questionsAtOnce bound the orders and questions that are under way. The leader of a fleet that starts has
-	// an order for every endpoint, and a new leader a question: thousands begun at once are all late, and so is the renewal of
-	// the lease, which takes its turn on the processor with them.
-	ordersAtOnce    = 128
-	questionsAtOnce = 128
-	// forgetContact is how long what asking has shown is kept.
-	forgetContact = 30 * time.Second
+	// storeOutageAfter is the age of the copy from which the store counts as unavailable. It is less than the age from
+	// which package follow holds removals back.
+	storeOutageAfter = 2 * time.Second
+	// probeInterval is the least time between two probes of one endpoint.
+	probeInterval = 250 * time.Millisecond
+	probeTimeout  = 300 * time.Millisecond
+	// peerProbeDelay is the time without an answer after which the other nodes are asked too: live endpoints answer
+	// within some ten milliseconds. A lost member is detected 200 ms sooner than if they were asked only after
+	// probeTimeout.
+	peerProbeDelay = 80 * time.Millisecond
+	orderTimeout   = 700 * time.Millisecond
+	// maxConcurrentOrders and maxConcurrentProbes limit the orders and probes in progress. The leader of a starting
+	// fleet has an order for every endpoint, and a new leader a probe. If thousands start at once all are late, and so
+	// is the renewal of the lease, which competes with them for the processor.
+	maxConcurrentOrders = 128
+	maxConcurrentProbes = 128
+	// contactRetention is how long the results of probes are kept.
+	contactRetention = 30 * time.Second
 )
 
-// Controller carries out the plans while this node leads.
+// Controller plans replica groups and carries out the plans while this node is the leader.
 type Controller struct {
 	Options
 
-	// Read without the lock: those who ask may hold locks that steps need.
+	// These are read without mu, because callers may hold locks that a step needs.
 	retiring, lost atomic.Pointer[[]string]
 
-	mu       sync.Mutex
-	epoch    int64               // of the last tenure
-	planners map[string]*Planner // by service
-	contacts map[string]*contact
-	asking   int           // questions under way
-	ordering chan struct{} // holds one for each order under way
-	busy     bool
-	steady   time.Time // since when the list has been current without a long pause; zero if it is not
-	wake     chan struct{}
+	mu           sync.Mutex
+	epoch        int64               // of the last tenure
+	planners     map[string]*Planner // by service name
+	contacts     map[string]*contact // by endpoint ID
+	activeProbes int                 // probes in progress
+	orderSlots   chan struct{}       // holds an element for each order in progress
+	trafficSeen  bool                // some node has received a request
+	currentSince time.Time           // since when the list has been current without an outage of the store; zero if it is not current
+	wake         chan struct{}
 }
 
-// contact is what is known from asking one endpoint.
+// contact is the probe state of one endpoint.
 type contact struct {
 	Contact
-	asked  time.Time
-	asking bool
+	lastProbe time.Time
+	probing   bool
 }
 
 // NewController returns a Controller.
 func NewController(o Options) *Controller {
-	return &Controller{Options: o, planners: make(map[string]*Planner), contacts: make(map[string]*contact), ordering: make(chan struct{}, ordersAtOnce), wake: make(chan struct{}, 1)}
+	return &Controller{Options: o, planners: make(map[string]*Planner), contacts: make(map[string]*contact), orderSlots: make(chan struct{}, maxConcurrentOrders), wake: make(chan struct{}, 1)}
 }
 
-// Wake makes the controller look at once.
+// Wake triggers a step without waiting for the interval.
 func (c *Controller) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -78,13 +79,13 @@
 	}
 }
 
-// Run plans until ctx ends.
+// Run plans and carries out the plans until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	loop.EveryOr(ctx, stepEvery, c.wake, func(now time.Time) { c.step(ctx, now) })
+	loop.EveryOr(ctx, stepInterval, c.wake, func(now time.Time) { c.step(ctx, now) })
 	return nil
 }
 
-// Leads returns the epoch of this node's lease, or 0.
+// Leads returns the epoch of this node's leader lease, or 0 if it does not hold the lease.
 func (c *Controller) Leads(now time.Time) int64 {
 	epoch, _, ok := c.Lease(now)
 	if !ok {
@@ -93,36 +94,36 @@
 	return epoch
 }
 
-// Retiring returns the groups that the plans of this tenure are about to end.
-func (c *Controller) Retiring() []string { return told(&c.retiring) }
+// Retiring returns the groups that this tenure is ending.
+func (c *Controller) Retiring() []string { return loadNames(&c.retiring) }
 
-// Lost returns the groups that this tenure has lately found to have lost a member.
-func (c *Controller) Lost() []string { return told(&c.lost) }
+// Lost returns the groups that this tenure recently found to have lost a member.
+func (c *Controller) Lost() []string { return loadNames(&c.lost) }
 
-func told(list *atomic.Pointer[[]string]) []string {
+func loadNames(list *atomic.Pointer[[]string]) []string {
 	if names := list.Load(); names != nil {
 		return *names
 	}
 	return nil
 }
 
-// tell notes what Retiring and Lost return.
-func (c *Controller) tell() {
+// publishGroups updates what Retiring and Lost return, and calls Told if either has gained a group.
+func (c *Controller) publishGroups() {
 	var retiring, lost []string
 	for _, p := range c.planners {
 		retiring = append(retiring, p.Retiring()...)
 		lost = append(lost, p.Lost()...)
 	}
-	gained := anyNew(c.Retiring(), retiring) || anyNew(c.Lost(), lost)
+	added := hasNew(c.Retiring(), retiring) || hasNew(c.Lost(), lost)
 	c.retiring.Store(&retiring)
 	c.lost.Store(&lost)
-	if gained && c.Told != nil {
+	if added && c.Told != nil {
 		c.Told()
 	}
 }
 
-// anyNew reports whether any of the names was not among those before.
-func anyNew(before, names []string) bool {
+// hasNew reports whether any of the names is missing from before.
+func hasNew(before, names []string) bool {
 	return slices.ContainsFunc(names, func(name string) bool { return !slices.Contains(before, name) })
 }
 
@@ -132,55 +133,55 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ok && epoch != c.epoch {
-		c.epoch = epoch // a lease that lapsed and was found to be held still is the same tenure
+		c.epoch = epoch // a lease that lapsed and is held again with the same epoch continues the tenure
 		clear(c.planners)
 	}
-	defer c.tell()
-	c.noteAge(now)
-	if !ok || table == nil || now.Sub(c.Listed()) > FreshEnough || until.Sub(now) < orderWait {
+	defer c.publishGroups()
+	c.trackListAge(now)
+	if !ok || table == nil || now.Sub(c.Listed()) > FreshEnough || until.Sub(now) < orderTimeout {
 		return
 	}
 	for _, s := range table.Engines() {
 		p := c.planners[s.Name]
 		if p == nil {
 			p = NewPlanner(epoch, now)
-			p.Note = c.note
+			p.Note = c.logDecision
 			c.planners[s.Name] = p
 		}
 		v := c.view(s, now)
-		orders, ask := p.Step(v)
+		orders, probe := p.Step(v)
 		for _, o := range orders {
-			go c.carryOut(ctx, p, o)
+			go c.executeOrder(ctx, p, o)
 		}
-		for _, id := range ask {
-			c.ask(ctx, v.Snapshot, id, now)
+		for _, id := range probe {
+			c.startProbe(ctx, v.Snapshot, id, now)
 		}
 	}
 	for id, k := range c.contacts {
-		if now.Sub(k.asked) > forgetContact {
+		if now.Sub(k.lastProbe) > contactRetention {
 			delete(c.contacts, id)
 		}
 	}
 }
 
-// noteAge notes whether the copy of the endpoints' list has been old.
-func (c *Controller) noteAge(now time.Time) {
+// trackListAge updates currentSince from the age of the copy of the endpoint list.
+func (c *Controller) trackListAge(now time.Time) {
 	switch {
-	case now.Sub(c.Current()) > awayFor:
-		c.steady = time.Time{}
-	case c.steady.IsZero():
-		c.steady = now
+	case now.Sub(c.Current()) > storeOutageAfter:
+		c.currentSince = time.Time{}
+	case c.currentSince.IsZero():
+		c.currentSince = now
 	}
 }
 
-func (c *Controller) note(event, group string, pairs ...any) {
+func (c *Controller) logDecision(event, group string, pairs ...any) {
 	_ = level.Info(c.Logger).Log(append([]any{"msg", event, "group", group, "tenure", c.epoch}, pairs...)...)
 }
 
 func (c *Controller) view(s *route.Service, now time.Time) *View {
 	v := &View{
-		Now: now, AsOf: c.Listed(), Steady: c.steady, Beat: c.Beat, Service: s, Snapshot: c.Directory.Read(), Contacts: make(map[string]Contact),
-		Loads: make(map[string]int), Suspects: make(map[string]bool), Demand: make(map[string]int),
+		Now: now, CurrentAt: c.Listed(), CurrentSince: c.currentSince, WriteInterval: c.Beat, Service: s, Snapshot: c.Directory.Read(), Contacts: make(map[string]Contact),
+		Loads: make(map[string]int), SuspectGroups: make(map[string]bool), Demand: make(map[string]int),
 		Mixes: make(map[string]engine.Mix),
 	}
 	for id, k := range c.contacts {
@@ -200,25 +201,25 @@
 		v.Mixes[model] = d.Mix
 	}
 	for group := range total.Suspects {
-		v.Suspects[group] = true
+		v.SuspectGroups[group] = true
 	}
-	c.busy = c.busy || c.Busy() || len(total.Loads) > 0
-	v.Busy = c.busy
+	c.trafficSeen = c.trafficSeen || c.Busy() || len(total.Loads) > 0
+	v.Busy = c.trafficSeen
 	return v
 }
 
-// carryOut gives one order when it is its turn, unless the lease has ended meanwhile.
-func (c *Controller) carryOut(ctx context.Context, p *Planner, o Order) {
+// executeOrder waits for a free slot and sends the order, unless the lease has ended meanwhile.
+func (c *Controller) executeOrder(ctx context.Context, p *Planner, o Order) {
 	select {
-	case c.ordering <- struct{}{}:
+	case c.orderSlots <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-c.ordering }()
+	defer func() { <-c.orderSlots }()
 	if c.Leads(clock.Now()) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderWait)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	sent := clock.Now()
 	outcome := c.Engine.Order(ctx, o)
@@ -232,8 +233,8 @@
 	}
 }
 
-// ask asks an endpoint directly, and the other nodes when it does not answer.
-func (c *Controller) ask(ctx context.Context, snapshot *endpoint.Snapshot, id string, now time.Time) {
+// startProbe starts a probe of the endpoint unless one is in progress, a recent one was sent or the limit is reached.
+func (c *Controller) startProbe(ctx context.Context, snapshot *endpoint.Snapshot, id string, now time.Time) {
 	k := c.contacts[id]
 	if k == nil {
 		k = &contact{}
@@ -243,67 +244,68 @@
 	if gone, ok := snapshot.Gone[id]; ok && e == nil {
 		e = gone.Endpoint
 	}
-	if k.asking || e == nil || now.Sub(k.asked) < askEvery || k.Refused || c.asking >= questionsAtOnce {
-		return // if it still matters it is asked for again in the next step
+	if k.probing || e == nil || now.Sub(k.lastProbe) < probeInterval || k.Refused || c.activeProbes >= maxConcurrentProbes {
+		return // the next step requests the probe again if it is still needed
 	}
-	k.asking, k.asked = true, now
-	c.asking++
-	go c.askNow(ctx, e, k)
+	k.probing, k.lastProbe = true, now
+	c.activeProbes++
+	go c.runProbe(ctx, e, k)
 }
 
-func (c *Controller) askNow(ctx context.Context, e *endpoint.Endpoint, k *contact) {
+func (c *Controller) runProbe(ctx context.Context, e *endpoint.Endpoint, k *contact) {
 	sent := clock.Now()
-	answer, alone := c.askAll(ctx, e)
+	answer, unheard := c.probeWithPeers(ctx, e)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.asking = false
-	c.asking--
-	was := k.Failed.IsZero()
+	k.probing = false
+	c.activeProbes--
+	wasAnswering := k.FailedSince.IsZero()
 	switch answer {
 	case Answered, AnsweredBusy:
-		k.Contact = Contact{Answered: sent, Busy: answer == AnsweredBusy}
+		k.Contact = Contact{LastAnswer: sent, Busy: answer == AnsweredBusy}
 	case NobodyThere:
 		k.Refused = true
-		k.fail(sent)
+		k.recordFailure(sent)
 	case Silent:
-		k.fail(sent)
-		k.alone(alone, sent)
+		k.recordFailure(sent)
+		k.recordUnheard(unheard, sent)
 	}
-	if was != k.Failed.IsZero() {
+	if wasAnswering != k.FailedSince.IsZero() {
 		_ = level.Info(c.Logger).Log("msg", "endpoint asked", "endpoint", e.ID, "address", e.Address, "answered", answer.Heard(),
-			"refused", k.Refused, "alone", !k.Alone.IsZero())
+			"refused", k.Refused, "alone", !k.UnheardSince.IsZero())
 	}
 	c.Wake()
 }
 
-// askAll asks an endpoint, and the other nodes whether they hear it as soon as it is late. It reports whether nobody does.
-func (c *Controller) askAll(ctx context.Context, e *endpoint.Endpoint) (answer Answer, alone bool) {
+// probeWithPeers probes an endpoint and, if the answer is late, asks the other nodes whether they can reach it. unheard
+// reports that neither this node nor any node asked could.
+func (c *Controller) probeWithPeers(ctx context.Context, e *endpoint.Endpoint) (answer Answer, unheard bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	heard := make(chan bool, 1)
-	others := time.AfterFunc(askOthersAfter, func() { heard <- c.Heard(ctx, e) })
-	defer others.Stop()
-	askCtx, done := context.WithTimeout(ctx, askWait)
+	peerProbe := time.AfterFunc(peerProbeDelay, func() { heard <- c.Heard(ctx, e) })
+	defer peerProbe.Stop()
+	probeCtx, done := context.WithTimeout(ctx, probeTimeout)
 	defer done()
-	if answer = c.Engine.Ask(askCtx, e); answer != Silent {
+	if answer = c.Engine.Ask(probeCtx, e); answer != Silent {
 		return answer, false
 	}
 	return answer, !<-heard
 }
 
-// alone notes whether nobody else heard the endpoint either. Who is asked changes each time in a large fleet, so
-// one that hears it starts the wait anew.
-func (k *contact) alone(alone bool, at time.Time) {
+// recordUnheard records whether the nodes asked could not reach the endpoint either. In a large fleet each probe asks
+// different nodes, so one that can reach the endpoint restarts the wait.
+func (k *contact) recordUnheard(unheard bool, at time.Time) {
 	switch {
-	case !alone:
-		k.Alone = time.Time{}
-	case k.Alone.IsZero():
-		k.Alone = at
+	case !unheard:
+		k.UnheardSince = time.Time{}
+	case k.UnheardSince.IsZero():
+		k.UnheardSince = at
 	}
 }
 
-func (k *contact) fail(at time.Time) {
-	if k.Failed.IsZero() {
-		k.Failed = at
+func (k *contact) recordFailure(at time.Time) {
+	if k.FailedSince.IsZero() {
+		k.FailedSince = at
 	}
 }
--- a/internal/formation/controller_test.go
+++ b/internal/formation/controller_test.go
@@ -16,7 +16,7 @@
 	"moorrun.dev/moorrun/internal/route"
 )
 
-// fakeEngine refuses every order and remembers it.
+// fakeEngine refuses every order and records it.
 type fakeEngine struct {
 	mu     sync.Mutex
 	orders []Order
@@ -58,25 +58,25 @@
 	})
 }
 
-func TestListIsSteadyOnlyWhileItHasNotBeenOld(t *testing.T) {
+func TestCurrentSinceIsResetWhenTheListGetsOld(t *testing.T) {
 	current := origin
 	c := newTestController(&fakeEngine{}, func(time.Time) (int64, time.Time, bool) { return 0, time.Time{}, false })
 	c.Current = func() time.Time { return current }
 	c.step(context.Background(), origin)
-	qt.Check(t, c.steady, qt.Equals, origin)
-	c.step(context.Background(), origin.Add(awayFor))
-	qt.Check(t, c.steady, qt.Equals, origin)
-	c.step(context.Background(), origin.Add(awayFor+time.Millisecond))
-	qt.Check(t, c.steady.IsZero(), qt.IsTrue)
+	qt.Check(t, c.currentSince, qt.Equals, origin)
+	c.step(context.Background(), origin.Add(storeOutageAfter))
+	qt.Check(t, c.currentSince, qt.Equals, origin)
+	c.step(context.Background(), origin.Add(storeOutageAfter+time.Millisecond))
+	qt.Check(t, c.currentSince.IsZero(), qt.IsTrue)
 	current = origin.Add(time.Minute)
 	c.step(context.Background(), current)
-	qt.Check(t, c.steady, qt.Equals, current)
+	qt.Check(t, c.currentSince, qt.Equals, current)
 }
 
-// TestLapsedLeaseThatIsStillHeldNamesNoGroupTwice: a lease whose renewal was answered late lapses and is then found
-// to be held still, with its epoch. A leader that counted from the beginning again gave the names and epochs of
-// its first groups to others, and took the members of the first for free.
-func TestLapsedLeaseThatIsStillHeldNamesNoGroupTwice(t *testing.T) {
+// A lease whose renewal is answered late lapses and is then held again with the same epoch. A leader that restarted its
+// group counter then reused the names and epochs of its first groups for others, and treated the members of the first
+// as free.
+func TestRecoveredLeaseReusesNoGroupName(t *testing.T) {
 	e := &fakeEngine{}
 	now := origin
 	held := true
@@ -86,72 +86,73 @@
 		}
 		return 1, time.Now().Add(time.Hour), true
 	})
-	play := func(d time.Duration) {
+	runSteps := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(tick) {
 			c.step(context.Background(), now)
-			time.Sleep(time.Millisecond) // orders are given beside the steps
+			time.Sleep(time.Millisecond) // orders are sent asynchronously
 		}
 	}
-	play(4 * time.Second)
+	runSteps(4 * time.Second)
 	before := len(e.joins())
 	qt.Assert(t, before > 0, qt.IsTrue)
 	counter := c.planners["lm"].counter
 	held = false
-	play(time.Second)
+	runSteps(time.Second)
 	held = true
-	play(4 * time.Second)
-	qt.Check(t, c.planners["lm"].counter > counter, qt.IsTrue, qt.Commentf("it counts on"))
-	qt.Check(t, len(e.joins()) > before, qt.IsTrue, qt.Commentf("new groups have new names"))
+	runSteps(4 * time.Second)
+	qt.Check(t, c.planners["lm"].counter > counter, qt.IsTrue, qt.Commentf("the group counter should continue"))
+	qt.Check(t, len(e.joins()) > before, qt.IsTrue, qt.Commentf("new groups should have new names"))
 }
 
-// A copy from other nodes may lack the members of groups: it is current and tells too little to form by.
-func TestLeaderFormsNothingBeforeTheStoreItselfHasToldIt(t *testing.T) {
+// A copy of the endpoint list from other nodes may lack members of groups: it is current but not complete enough to
+// form groups from.
+func TestLeaderFormsNoGroupsBeforeReadingTheStore(t *testing.T) {
 	e := &fakeEngine{}
 	c := newTestController(e, func(time.Time) (int64, time.Time, bool) { return 1, time.Now().Add(time.Hour), true })
 	listed := time.Time{}
 	c.Listed = func() time.Time { return listed }
 	c.Current = time.Now
-	play := func() {
+	runSteps := func() {
 		for now := origin; now.Before(origin.Add(2 * gatherTimeout)); now = now.Add(tick) {
 			c.step(context.Background(), now)
 		}
-		time.Sleep(10 * time.Millisecond) // orders are given beside the steps
+		time.Sleep(10 * time.Millisecond) // orders are sent asynchronously
 	}
-	play()
+	runSteps()
 	qt.Check(t, e.joins(), qt.HasLen, 0)
 	listed = origin.Add(time.Hour)
-	play()
+	runSteps()
 	qt.Check(t, len(e.joins()) > 0, qt.IsTrue)
 }
 
-// slowEngine answers after a while and counts how much is under way at once.
+// slowEngine answers after 20 ms and counts the concurrent calls.
 type slowEngine struct {
-	mu            sync.Mutex
-	now, most     int
-	orders, asked int
+	mu                  sync.Mutex
+	running, maxRunning int
+	orders, probes      int
 }
 
-func (s *slowEngine) work(count *int) {
+func (s *slowEngine) simulateCall(count *int) {
 	s.mu.Lock()
-	s.now++
+	s.running++
 	*count++
-	s.most = max(s.most, s.now)
+	s.maxRunning = max(s.maxRunning, s.running)
 	s.mu.Unlock()
 	time.Sleep(20 * time.Millisecond)
 	s.mu.Lock()
-	s.now--
+	s.running--
 	s.mu.Unlock()
 }
 
 func (s *slowEngine) Ask(context.Context, *endpoint.Endpoint) Answer {
-	s.work(&s.asked)
+	s.simulateCall(&s.probes)
 	return Answered
 }
-func (s *slowEngine) Order(context.Context, Order) Outcome { s.work(&s.orders); return Taken }
+func (s *slowEngine) Order(context.Context, Order) Outcome { s.simulateCall(&s.orders); return Taken }
 
-// A fleet that starts has an order for every endpoint, and a new leader a question: they are begun a few at a time, and all
-// in the end.
-func TestOrdersAndQuestionsAreGivenAFewAtATime(t *testing.T) {
+// The leader of a starting fleet has an order for every endpoint, and a new leader a probe. Only a limited number run
+// at once, and all complete.
+func TestConcurrentOrdersAndProbesAreBounded(t *testing.T) {
 	const endpoints = 1000
 	synctest.Test(t, func(t *testing.T) {
 		e := &slowEngine{}
@@ -163,35 +164,35 @@
 		c.Directory.Apply(list, nil, origin)
 		p := NewPlanner(1, origin)
 		for _, x := range list {
-			go c.carryOut(t.Context(), p, Order{Kind: Leave, Endpoint: x})
+			go c.executeOrder(t.Context(), p, Order{Kind: Leave, Endpoint: x})
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
 		qt.Check(t, e.orders, qt.Equals, endpoints)
-		qt.Check(t, e.most <= ordersAtOnce, qt.IsTrue, qt.Commentf("%d", e.most))
-		e.most = 0
+		qt.Check(t, e.maxRunning <= maxConcurrentOrders, qt.IsTrue, qt.Commentf("%d at once", e.maxRunning))
+		e.maxRunning = 0
 		for step := range 20 {
 			c.mu.Lock()
 			for _, x := range list {
-				if k := c.contacts[x.ID]; k == nil || k.Answered.IsZero() {
-					c.ask(t.Context(), c.Directory.Read(), x.ID, origin.Add(time.Duration(step)*askEvery))
+				if k := c.contacts[x.ID]; k == nil || k.LastAnswer.IsZero() {
+					c.startProbe(t.Context(), c.Directory.Read(), x.ID, origin.Add(time.Duration(step)*probeInterval))
 				}
 			}
 			c.mu.Unlock()
-			time.Sleep(stepEvery)
+			time.Sleep(stepInterval)
 		}
 		synctest.Wait()
-		qt.Check(t, e.asked, qt.Equals, endpoints)
-		qt.Check(t, e.most <= questionsAtOnce, qt.IsTrue, qt.Commentf("%d", e.most))
+		qt.Check(t, e.probes, qt.Equals, endpoints)
+		qt.Check(t, e.maxRunning <= maxConcurrentProbes, qt.IsTrue, qt.Commentf("%d at once", e.maxRunning))
 	})
 }
 
-// TestRetiringDoesNotWaitForAStep: the choice of an endpoint asks for the retiring groups under its own lock, and
-// a step asks it for this node's loads.
-func TestRetiringDoesNotWaitForAStep(t *testing.T) {
+// The endpoint picker calls Retiring while it holds its own lock, and a step takes that lock to read this node's loads.
+// Retiring must not take the step's lock.
+func TestRetiringDoesNotTakeTheStepLock(t *testing.T) {
 	c := newTestController(&fakeEngine{}, func(time.Time) (int64, time.Time, bool) { return 1, time.Now().Add(time.Hour), true })
 	c.Own = func(time.Time) gossip.Status {
-		c.Retiring() // a deadlock if it takes the lock of the step
+		c.Retiring() // deadlocks if it takes the lock of the step
 		return gossip.Status{}
 	}
 	done := make(chan bool)
@@ -199,11 +200,11 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a step waits for itself")
+		t.Fatal("step did not end within 20 s: deadlock")
 	}
 }
 
-// silentEngine is one whose endpoints answer nothing until the question is given up.
+// silentEngine does not answer probes until their context ends.
 type silentEngine struct{ fakeEngine }
 
 func (s *silentEngine) Ask(ctx context.Context, _ *endpoint.Endpoint) Answer {
@@ -211,42 +212,42 @@
 	return Silent
 }
 
-func TestOthersAreAskedWhileAnEndpointIsSilent(t *testing.T) {
+func TestPeersAreProbedWhileAnEndpointDoesNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(&silentEngine{}, nil)
 		began, asked := time.Now(), time.Time{}
 		c.Heard = func(context.Context, *endpoint.Endpoint) bool {
 			asked = time.Now()
-			time.Sleep(askWait)
+			time.Sleep(probeTimeout)
 			return false
 		}
-		answer, alone := c.askAll(context.Background(), &endpoint.Endpoint{ID: "a"})
-		qt.Check(t, answer == Silent && alone, qt.IsTrue)
-		qt.Check(t, asked.Sub(began), qt.Equals, askOthersAfter)
-		qt.Check(t, time.Since(began), qt.Equals, askOthersAfter+askWait)
+		answer, unheard := c.probeWithPeers(context.Background(), &endpoint.Endpoint{ID: "a"})
+		qt.Check(t, answer == Silent && unheard, qt.IsTrue)
+		qt.Check(t, asked.Sub(began), qt.Equals, peerProbeDelay)
+		qt.Check(t, time.Since(began), qt.Equals, peerProbeDelay+probeTimeout)
 	})
 }
 
-func TestNobodyElseIsAskedAboutAnEndpointThatAnswers(t *testing.T) {
+func TestPeersAreNotProbedWhenTheEndpointAnswers(t *testing.T) {
 	c := newTestController(&fakeEngine{}, nil)
 	c.Heard = func(context.Context, *endpoint.Endpoint) bool {
-		t.Error("asked")
+		t.Error("peers were asked about an endpoint that answers")
 		return true
 	}
-	answer, alone := c.askAll(context.Background(), &endpoint.Endpoint{ID: "a"})
-	qt.Check(t, answer == Answered && !alone, qt.IsTrue)
+	answer, unheard := c.probeWithPeers(context.Background(), &endpoint.Endpoint{ID: "a"})
+	qt.Check(t, answer == Answered && !unheard, qt.IsTrue)
 }
 
-func TestNewLossesAreToldAtOnce(t *testing.T) {
-	told := 0
+func TestNewLostGroupsAreReportedAtOnce(t *testing.T) {
+	calls := 0
 	c := newTestController(&fakeEngine{}, nil)
-	c.Told = func() { told++ }
+	c.Told = func() { calls++ }
 	p := NewPlanner(1, origin)
 	c.planners["lm"] = p
-	c.tell()
-	qt.Check(t, told, qt.Equals, 0)
+	c.publishGroups()
+	qt.Check(t, calls, qt.Equals, 0)
 	p.lostAt["g"] = origin
-	c.tell()
-	c.tell()
-	qt.Check(t, told, qt.Equals, 1)
+	c.publishGroups()
+	c.publishGroups()
+	qt.Check(t, calls, qt.Equals, 1)
 }
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -20,7 +20,7 @@
 	staleMemberRetry = 4 * time.Second
 )
 
-// form plans groups of free endpoints, for the model furthest behind its share of the endpoints first.
+// form plans groups of free endpoints, for the model most in need first.
 func (p *Planner) form(v *View) {
 	if p.awaitingEndpoints(v) {
 		return
@@ -28,7 +28,7 @@
 	free := p.freeByDomain(v)
 	have := p.assignedEndpoints(v)
 	fits := make(fitCache)
-	for p.formOne(v, free, have, fits) { //nolint:revive // nolint
+	for p.formOne(v, free, have, fits) { //nolint:revive // until no further group can be planned
 	}
 	p.clearStaleMembers(v, free)
 	p.convert(v, free, have)
@@ -60,7 +60,7 @@
 func (p *Planner) freeByDomain(v *View) map[string][]*endpoint.Endpoint {
 	out := make(map[string][]*endpoint.Endpoint)
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if c, asked := v.Contacts[e.ID]; asked && !c.Failed.IsZero() {
+		if c, asked := v.Contacts[e.ID]; asked && !c.FailedSince.IsZero() {
 			p.requestProbe(e.ID) // it may be reachable again
 		}
 		if p.isFree(v, e) {
@@ -80,7 +80,7 @@
 	for name, g := range v.Snapshot.Groups {
 		_, ended := p.ended[name]
 		if g.Service == v.Service.Name && g.Head != nil && !ended && p.retiring[name] == nil && p.plans[name] == nil {
-			have[g.Model] += p.sizeOf(v, g)
+			have[g.Model] += p.groupSize(v, g)
 		}
 	}
 	for _, pl := range p.plans {
--- a/internal/formation/need.go
+++ b/internal/formation/need.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// prefillGroupsNeeded returns the least number of groups, as a fraction, that can read prompts of that mix within the
+// prefillGroupsNeeded returns the least number of groups, as a fraction, that can read (prefill) prompts of that mix within the
 // model's objective, or 0 if that cannot be predicted. A model with long prompts and short answers has few running
 // requests and yet needs many groups: when only request slots were counted, two groups of sixteen endpoints were
 // considered enough where a third of the answers were late.
@@ -41,16 +41,16 @@
 	return mix.PerSecond / capacity
 }
 
-// pressure is the number of groups that a model needs divided by the number that it has. It needs enough to give every
-// request a slot, including waiting ones, and to read the prompts within the objective. Above 1 requests wait or are
-// late.
+// pressure is the number of groups that a model needs divided by the number that it has; have counts endpoints by
+// model. It needs enough groups to give every request a slot, including waiting ones, and to read the prompts within
+// the objective. Above 1 requests wait or are late.
 func (p *Planner) pressure(v *View, m route.Model, have map[string]int) float64 {
 	groups := float64(have[m.Name]) / float64(max(1, m.Size))
 	if groups == 0 {
 		return math.Inf(1)
 	}
-	places := max(minDemand, p.demand[m.Name]) / float64(v.Service.Engine.Slots)
-	return max(places, p.prefillGroups[m.Name]) / groups
+	groupsForSlots := max(minDemand, p.demand[m.Name]) / float64(v.Service.Engine.Slots)
+	return max(groupsForSlots, p.prefillGroups[m.Name]) / groups
 }
 
 // modelsByNeed returns the models, most in need first: by pressure while requests arrive, before that by how far they
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -95,7 +95,7 @@
 			return "a member is no longer listed"
 		case e.Draining:
 			return "a member is leaving"
-		case v.down(m.ID):
+		case v.isDown(m.ID):
 			return "a member does not answer"
 		}
 	}
--- a/internal/formation/planner.go
+++ b/internal/formation/planner.go
@@ -87,7 +87,7 @@
 func (p *Planner) Step(v *View) (orders []Order, probe []string) {
 	p.orders, p.copies = nil, nil
 	clear(p.toProbe)
-	if v.AsOf.Before(p.started) {
+	if v.CurrentAt.Before(p.started) {
 		return nil, nil
 	}
 	p.updateDemand(v)
@@ -156,7 +156,7 @@
 
 // isFree reports whether the endpoint may be ordered into a new group.
 func (p *Planner) isFree(v *View, e *endpoint.Endpoint) bool {
-	if e.Draining || p.commitments.contains(e.ID) || v.down(e.ID) {
+	if e.Draining || p.commitments.contains(e.ID) || v.isDown(e.ID) {
 		return false
 	}
 	if e.Membership == nil {
--- a/internal/formation/planner_test.go
+++ b/internal/formation/planner_test.go
@@ -12,21 +12,21 @@
 
 const tick = 100 * time.Millisecond
 
-// prompt delivers every order at the next tick, with its answer.
-func prompt() (time.Duration, bool) { return 0, false }
+// deliverNow is a delay for simulation.step: every order arrives at the next tick, and no answer is lost.
+func deliverNow() (time.Duration, bool) { return 0, false }
 
-// settleFor lets one planner work for that long.
-func settleFor(w *world, p *Planner, d time.Duration) {
+// runFor runs one planner for the given simulated time.
+func runFor(w *simulation, p *Planner, d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
-		w.pass(tick)
-		w.step(p, 0, prompt)
+		w.advance(tick)
+		w.step(p, 0, deliverNow)
 		w.deliver()
 	}
 }
 
-func openGroups(w *world) map[string]int {
+func openGroups(w *simulation) map[string]int {
 	out := make(map[string]int)
-	for _, x := range w.workers {
+	for _, x := range w.endpoints {
 		if x.up && x.Membership != nil && x.Membership.State == endpoint.Open {
 			out[x.Models[0]]++
 		}
@@ -35,19 +35,19 @@
 }
 
 func TestGroupsOfBothModelsOpen(t *testing.T) {
-	w := newWorld(10, t.Fatalf)
-	settleFor(w, NewPlanner(1, origin), 8*time.Second)
+	w := newSimulation(10, t.Fatalf)
+	runFor(w, NewPlanner(1, origin), 8*time.Second)
 	qt.Check(t, openGroups(w), qt.DeepEquals, map[string]int{"big": 2, "small": 2})
-	for _, x := range w.workers {
-		qt.Check(t, x.Staged, qt.HasLen, 1, qt.Commentf("%s holds the other model on its host", x.ID))
+	for _, x := range w.endpoints {
+		qt.Check(t, x.Staged, qt.HasLen, 1, qt.Commentf("%s should have one model staged", x.ID))
 	}
 }
 
-func TestSparesHoldTheModelWhoseGroupsLoseMostByALoss(t *testing.T) {
-	w := newWorld(4, t.Fatalf)
-	settleFor(w, NewPlanner(1, origin), 8*time.Second)
+func TestSparesGetTheModelWhoseLossIdlesMostMembers(t *testing.T) {
+	w := newSimulation(4, t.Fatalf)
+	runFor(w, NewPlanner(1, origin), 8*time.Second)
 	qt.Assert(t, openGroups(w), qt.DeepEquals, map[string]int{"big": 1})
-	for _, x := range w.workers {
+	for _, x := range w.endpoints {
 		if x.Membership == nil {
 			qt.Check(t, x.Staged, qt.DeepEquals, []string{"big"})
 		}
@@ -55,76 +55,76 @@
 }
 
 func TestLostMemberIsReplaced(t *testing.T) {
-	w := newWorld(10, t.Fatalf)
+	w := newSimulation(10, t.Fatalf)
 	p := NewPlanner(1, origin)
-	settleFor(w, p, 8*time.Second)
-	for _, x := range w.workers {
+	runFor(w, p, 8*time.Second)
+	for _, x := range w.endpoints {
 		if m := x.Membership; m.Rank == 1 && x.Models[0] == "big" {
 			x.up, x.lostAt = false, w.now
 			break
 		}
 	}
-	settleFor(w, p, 10*time.Second)
+	runFor(w, p, 10*time.Second)
 	open := openGroups(w)
-	qt.Check(t, open["big"]*3+open["small"]*2 >= 8, qt.IsTrue, qt.Commentf("nine endpoints are left: %v", open))
+	qt.Check(t, open["big"]*3+open["small"]*2 >= 8, qt.IsTrue, qt.Commentf("with nine endpoints left, at least eight should be in open groups: %v", open))
 }
 
-func TestMembersOfASilentHeadWaitUntilItIsDead(t *testing.T) {
-	w := newWorld(3, t.Fatalf)
+func TestMembersOfAnUnreachableHeadAreNotReassignedUntilItIsDead(t *testing.T) {
+	w := newSimulation(3, t.Fatalf)
 	p := NewPlanner(1, origin)
-	settleFor(w, p, 8*time.Second)
-	var head *worker
-	for _, x := range w.workers {
+	runFor(w, p, 8*time.Second)
+	var head *fakeEndpoint
+	for _, x := range w.endpoints {
 		if m := x.Membership; m != nil && m.State == endpoint.Open {
 			head = x
 		}
 	}
 	qt.Assert(t, head, qt.IsNotNil)
-	// It serves on, but neither the store nor the leader hears it; another node does.
-	head.cut, head.silent, head.lostAt = true, true, w.now
-	settleFor(w, p, 20*time.Second) // TWO would fail the test
+	// Neither the store nor the leader can reach the head, but another node can, and it continues to serve.
+	head.storeCut, head.leaderCut, head.lostAt = true, true, w.now
+	runFor(w, p, 20*time.Second) // fails if a member joins another group
 	qt.Check(t, head.Membership.State, qt.Equals, endpoint.Open)
 }
 
-func TestLaterLeaderFormsAnewWhatTheEarlierLeftUnopened(t *testing.T) {
-	w := newWorld(4, t.Fatalf)
+func TestNewLeaderReplacesGroupsLeftUnopened(t *testing.T) {
+	w := newSimulation(4, t.Fatalf)
 	first := NewPlanner(1, origin)
-	for range 20 { // until the joins are given
-		w.pass(tick)
-		w.step(first, 0, prompt)
+	for range 20 { // until the joins are sent
+		w.advance(tick)
+		w.step(first, 0, deliverNow)
 		w.deliver()
 		if len(first.plans) > 0 {
 			break
 		}
 	}
 	qt.Assert(t, len(first.plans) > 0, qt.IsTrue)
-	settleFor(w, NewPlanner(2, w.now), 6*time.Second)
+	runFor(w, NewPlanner(2, w.now), 6*time.Second)
 	open := openGroups(w)
 	qt.Check(t, open["big"]+open["small"] > 0, qt.IsTrue)
 }
 
-func TestLeavingMemberEndsItsGroupAfterItsRequests(t *testing.T) {
-	w := newWorld(10, t.Fatalf)
+func TestDrainingMemberRetiresItsGroup(t *testing.T) {
+	w := newSimulation(10, t.Fatalf)
 	p := NewPlanner(1, origin)
-	settleFor(w, p, 8*time.Second)
-	for _, x := range w.workers {
+	runFor(w, p, 8*time.Second)
+	for _, x := range w.endpoints {
 		if x.Membership.Rank == 1 {
 			x.Draining = true
 			x.Revision++
 			break
 		}
 	}
-	w.pass(tick)
-	w.step(p, 0, prompt)
+	w.advance(tick)
+	w.step(p, 0, deliverNow)
 	qt.Check(t, p.Retiring(), qt.HasLen, 1)
 }
 
-// TestHistories plays leaders that pause, see late and overlap, orders that are lost, late or unanswered, and
-// endpoints that die, are cut off or come back, and checks at every order taken that no endpoint is joined
-// elsewhere while its group is open (TWO), and that no group opens before all its members were ready (PARTIAL).
-func TestHistories(t *testing.T) {
+// TestInvariantsInRandomHistories simulates leaders that pause, have outdated views and overlap, orders that are lost,
+// late or unanswered, and endpoints that die, are cut off or return. At every accepted order it checks that no endpoint
+// joins another group while its own is open, and that no group opens before all its members have been ready.
+func TestInvariantsInRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(3, 10).Draw(t, "workers"), t.Fatalf)
+		w := newSimulation(rapid.IntRange(3, 10).Draw(t, "workers"), t.Fatalf)
 		w.log = t.Logf
 		tenure := int64(1)
 		newLeader := func() *Planner {
@@ -137,7 +137,7 @@
 			return p
 		}
 		leader := newLeader()
-		var held []pending // decided by earlier leaders just before they paused
+		var held []pendingOrder // orders that earlier leaders decided on just before they paused
 		delay := func() (time.Duration, bool) {
 			switch rapid.IntRange(0, 9).Draw(t, "order") {
 			case 0:
@@ -145,56 +145,56 @@
 			case 1:
 				return 0, true
 			case 2:
-				return time.Hour, true // lost
+				return time.Hour, true // the order is lost
 			default:
 				return 0, false
 			}
 		}
 		ids := func() []string {
 			var out []string
-			for id := range w.workers {
+			for id := range w.endpoints {
 				out = append(out, id)
 			}
 			return out
 		}
-		w.pass(tick)
+		w.advance(tick)
 		for range rapid.IntRange(50, 200).Draw(t, "steps") {
-			w.pass(tick)
+			w.advance(tick)
 			switch rapid.IntRange(0, 40).Draw(t, "event") {
-			case 0: // a leader pauses between deciding and sending, and another takes over
+			case 0: // the leader pauses between deciding and sending, and another takes over
 				sent := len(w.orders)
 				w.step(leader, 0, func() (time.Duration, bool) { return 0, true })
 				held = append(held, w.orders[sent:]...)
 				w.orders = w.orders[:sent]
 				tenure++
 				leader = newLeader()
-			case 1: // the paused ones wake up, and what they had decided leaves now
+			case 1: // paused leaders continue and send the orders that they had decided on
 				for _, d := range held {
 					d.at = w.now
 					w.orders = append(w.orders, d)
 				}
 				held = nil
 			case 2:
-				x := w.workers[rapid.SampledFrom(sorted(ids())).Draw(t, "dies")]
+				x := w.endpoints[rapid.SampledFrom(sorted(ids())).Draw(t, "dies")]
 				if x.up {
 					x.up, x.lostAt = false, w.now
 				}
 			case 3:
-				x := w.workers[rapid.SampledFrom(sorted(ids())).Draw(t, "cut")]
-				if x.up && !x.cut {
-					x.cut, x.silent, x.lostAt = true, rapid.Bool().Draw(t, "silent"), w.now
+				x := w.endpoints[rapid.SampledFrom(sorted(ids())).Draw(t, "cut")]
+				if x.up && !x.storeCut {
+					x.storeCut, x.leaderCut, x.lostAt = true, rapid.Bool().Draw(t, "silent"), w.now
 				}
 			case 4:
-				for _, x := range w.workers {
-					x.cut, x.silent = false, false
+				for _, x := range w.endpoints {
+					x.storeCut, x.leaderCut = false, false
 					if x.up {
-						x.failed = time.Time{}
+						x.firstUnanswered = time.Time{}
 					}
 				}
 			case 5:
 				w.add()
 			case 6:
-				x := w.workers[rapid.SampledFrom(sorted(ids())).Draw(t, "drains")]
+				x := w.endpoints[rapid.SampledFrom(sorted(ids())).Draw(t, "drains")]
 				x.Draining = true
 				x.Revision++
 			}
--- a/internal/formation/retirement.go
+++ b/internal/formation/retirement.go
@@ -49,7 +49,7 @@
 			p.endGroup(v, name, reason)
 			continue
 		}
-		if v.Now.Before(r.drainDeadline) && v.Loads[r.head.ID] > 0 && !v.down(r.head.ID) {
+		if v.Now.Before(r.drainDeadline) && v.Loads[r.head.ID] > 0 && !v.isDown(r.head.ID) {
 			continue
 		}
 		if v.Now.Sub(r.leaveOrderedAt) >= leaveRetryInterval {
@@ -68,7 +68,7 @@
 		return "the head has left"
 	case listed && e.Membership != nil && e.Membership.Group == r.name && e.Membership.State == endpoint.Broken:
 		return "the head is broken"
-	case v.dead(r.head.ID):
+	case v.isDead(r.head.ID):
 		return "the head is dead"
 	default:
 		return ""
--- a/internal/formation/running.go
+++ b/internal/formation/running.go
@@ -35,7 +35,7 @@
 }
 
 func (p *Planner) reviewGroup(v *View, g *endpoint.Group) {
-	size := p.sizeOf(v, g)
+	size := p.groupSize(v, g)
 	if g.Head == nil {
 		p.reviewHeadless(v, g)
 		return
@@ -53,8 +53,8 @@
 		p.retire(v, g.Name, g.Epoch, g.Head, "a member is leaving", drainTimeout)
 		return
 	}
-	seen, met := p.firstSeen[g.Name]
-	if !met {
+	seen, found := p.firstSeen[g.Name]
+	if !found {
 		p.firstSeen[g.Name] = v.Now
 		seen = v.Now
 	}
@@ -62,11 +62,11 @@
 	if allReady {
 		p.seenComplete[g.Name] = true
 	}
-	known := v.Now.Sub(seen)
+	age := v.Now.Sub(seen)
 	switch {
-	case g.Head.Membership.State != endpoint.Open && known > unopenedGrace:
+	case g.Head.Membership.State != endpoint.Open && age > unopenedGrace:
 		p.retire(v, g.Name, g.Epoch, g.Head, "an earlier leader did not open it", 0)
-	case !allReady && !p.seenComplete[g.Name] && known > incompleteGrace:
+	case !allReady && !p.seenComplete[g.Name] && age > incompleteGrace:
 		p.retire(v, g.Name, g.Epoch, g.Head, "a member is missing", 0)
 	}
 }
@@ -80,16 +80,16 @@
 	for id, gone := range v.Snapshot.Gone {
 		if m := gone.Endpoint.Membership; m != nil && m.Group == g.Name && m.Epoch == g.Epoch {
 			members = append(members, id)
-			if !v.answers(id, answerMaxAge) {
+			if !v.answeredWithin(id, answerMaxAge) {
 				p.requestProbe(id)
 			}
 		}
 	}
-	if v.Suspects[g.Name] {
+	if v.SuspectGroups[g.Name] {
 		p.requestProbe(members...)
 	}
 	for _, id := range members {
-		if v.down(id) {
+		if v.isDown(id) {
 			return true, "member " + id + " does not answer"
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (p *Planner) sizeOf(v *View, g *endpoint.Group) int {
+func (p *Planner) groupSize(v *View, g *endpoint.Group) int {
 	m, _ := v.Service.Engine.Model(g.Model)
 	return m.Size
 }
--- a/internal/formation/settling_test.go
+++ b/internal/formation/settling_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlansSettleOnceDemandHas gives several domains any steady demand, loses some endpoints, and checks that groups
-// stop changing their model, that no load is begun beyond the weight store's rate, and that what is free in the end
-// could not serve a model that is pressed.
-func TestPlansSettleOnceDemandHas(t *testing.T) {
+// TestConversionsStopUnderSteadyDemand gives several domains a random steady demand and loses some endpoints. It checks
+// that groups stop changing their model, that loads stay within the weight store's rate, and that in the end no free
+// endpoints could serve a model under pressure.
+func TestConversionsStopUnderSteadyDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(0, t.Fatalf)
+		w := newSimulation(0, t.Fatalf)
 		w.domainSize = rapid.IntRange(5, 9).Draw(t, "domain")
 		for range w.domainSize * rapid.IntRange(2, 4).Draw(t, "domains") {
 			w.add()
 		}
 		p := NewPlanner(1, origin)
-		settleFor(w, p, 8*time.Second)
+		runFor(w, p, 8*time.Second)
 		w.busy = true
 		w.demand = map[string]int{"big": rapid.IntRange(0, 60).Draw(t, "big"), "small": rapid.IntRange(0, 60).Draw(t, "small")}
 		conversions, loads := 0, []time.Time{}
@@ -32,33 +32,33 @@
 			}
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "lost") {
-			x := w.workers[sorted(ids(w))[rapid.IntRange(0, len(w.workers)-1).Draw(t, "who")]]
+			x := w.endpoints[sorted(ids(w))[rapid.IntRange(0, len(w.endpoints)-1).Draw(t, "who")]]
 			if x.up {
 				x.up, x.lostAt = false, w.now
 			}
-			settleFor(w, p, 2*time.Second)
+			runFor(w, p, 2*time.Second)
 		}
-		settleFor(w, p, 20*time.Second)
+		runFor(w, p, 20*time.Second)
 		conversions = 0
-		settleFor(w, p, 10*time.Second)
+		runFor(w, p, 10*time.Second)
 		if conversions > 0 {
 			t.Fatalf("%d groups still change their model", conversions)
 		}
-		checkRate(t, loads, w.service.Engine.LoadsPerSecond)
-		checkIdle(t, w, p)
+		checkLoadRate(t, loads, w.service.Engine.LoadsPerSecond)
+		checkNoIdleCapacity(t, w, p)
 	})
 }
 
-func ids(w *world) []string {
+func ids(w *simulation) []string {
 	var out []string
-	for id := range w.workers {
+	for id := range w.endpoints {
 		out = append(out, id)
 	}
 	return out
 }
 
-// checkRate fails if more loads begin in any second than the weight store allows.
-func checkRate(t *rapid.T, loads []time.Time, most float64) {
+// checkLoadRate fails if more loads start within a second than the weight store allows.
+func checkLoadRate(t *rapid.T, loads []time.Time, most float64) {
 	for i := range loads {
 		n := 0
 		for _, at := range loads[i:] {
@@ -67,13 +67,14 @@
 			}
 		}
 		if float64(n) > most {
-			t.Fatalf("%d loads in a second", n)
+			t.Fatalf("%d loads started within a second", n)
 		}
 	}
 }
 
-// checkIdle fails if a model waits for places while free endpoints of one domain hold it and could form a group.
-func checkIdle(t *rapid.T, w *world, p *Planner) {
+// checkNoIdleCapacity fails if requests of a model wait while enough free endpoints of one domain hold it to form a
+// group.
+func checkNoIdleCapacity(t *rapid.T, w *simulation, p *Planner) {
 	v := w.view(0)
 	have := p.assignedEndpoints(v)
 	for _, m := range w.service.Engine.Models {
--- a/internal/formation/spare.go
+++ b/internal/formation/spare.go
@@ -9,9 +9,9 @@
 // endpoints without one.
 func (p *Planner) stageBeforeTraffic(v *View) {
 	p.stageCold(v)
-	within := p.selectedDomains(v)
+	selected := p.selectedDomains(v)
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if e.Membership == nil || !within[e.Domain] || !p.canTakeSecondModel(e) {
+		if e.Membership == nil || !selected[e.Domain] || !p.canTakeSecondModel(e) {
 			continue
 		}
 		for _, m := range v.Service.Engine.Models {
--- a/internal/formation/stage.go
+++ b/internal/formation/stage.go
@@ -80,11 +80,11 @@
 			continue
 		}
 		c := v.Contacts[id]
-		if c.Answered.After(s.since) && !c.Busy {
+		if c.LastAnswer.After(s.since) && !c.Busy {
 			delete(p.stagings, id)
 			continue
 		}
-		if v.Now.Sub(c.Answered) > surveyRetryInterval {
+		if v.Now.Sub(c.LastAnswer) > surveyRetryInterval {
 			p.requestProbe(id)
 		}
 	}
@@ -140,10 +140,10 @@
 	for _, m := range v.Service.Engine.Models {
 		scarcity[m.Name] = p.potentialPressure(v, copies, m, 0)
 	}
-	within, inNeed := p.selectedDomains(v), p.anyModelInNeed(v)
+	selected, inNeed := p.selectedDomains(v), p.anyModelInNeed(v)
 	var out []stageTarget
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if !inNeed && !within[e.Domain] || !p.canTakeSecondModel(e) || v.down(e.ID) {
+		if !inNeed && !selected[e.Domain] || !p.canTakeSecondModel(e) || v.isDown(e.ID) {
 			continue
 		}
 		var lacks []route.Model
--- a/internal/formation/step_bench_test.go
+++ b/internal/formation/step_bench_test.go
@@ -8,10 +8,10 @@
 	"moorrun.dev/moorrun/internal/engine"
 )
 
-// BenchmarkStep is one step of the leader of a fleet of 222 endpoints of which a sixth is free, while both models are
-// pressed and nothing can be formed.
+// BenchmarkStep measures one step of the leader of a fleet of 222 endpoints, a sixth of them free, while both models
+// are under pressure and no group can be formed.
 func BenchmarkStep(b *testing.B) {
-	s := &estate{demand: map[string]int{"big": 230, "small": 300}}
+	s := &fleetListing{demand: map[string]int{"big": 230, "small": 300}}
 	for d := range 6 {
 		domain := fmt.Sprint("d", d)
 		for g := range 5 {
@@ -22,7 +22,7 @@
 			s.add(domain, "", "")
 		}
 	}
-	p := s.settled()
+	p := s.newSettledPlanner()
 	v := s.view()
 	v.Service.Engine.Figures = engine.Figures{Step: 6 * time.Millisecond, ReadPerSecond: 50_000, Stride: 7}
 	v.Mixes = map[string]engine.Mix{"small": longPrompts(1.5)}
--- a/internal/formation/survey.go
+++ b/internal/formation/survey.go
@@ -26,7 +26,7 @@
 		if p.surveyed[e.ID] || e.Draining || hasOtherModelStaged(e) || p.isLoading(e) {
 			continue
 		}
-		if !c.Answered.After(p.started) {
+		if !c.LastAnswer.After(p.started) {
 			p.requestProbe(e.ID)
 			continue
 		}
--- a/internal/formation/view.go
+++ b/internal/formation/view.go
@@ -8,105 +8,105 @@
 	"moorrun.dev/moorrun/internal/route"
 )
 
-// View is what a Planner sees in one step.
+// View is the state that a Planner works from in one step.
 type View struct {
-	Now      time.Time
-	AsOf     time.Time     // the snapshot is certainly current as of then
-	Steady   time.Time     // since when it has been current without a long pause; zero if it is not
-	Beat     time.Duration // how often endpoints write their entries
-	Service  *route.Service
-	Snapshot *endpoint.Snapshot
-	Contacts map[string]Contact    // by endpoint ID, of those that have been asked lately
-	Loads    map[string]int        // requests of all nodes, by ID of the head
-	Demand   map[string]int        // requests of all nodes, running and waiting, by model
-	Mixes    map[string]engine.Mix // of the requests of all nodes, by model
-	Suspects map[string]bool       // groups that stand still at some node
-	Busy     bool                  // callers have begun to send requests
+	Now           time.Time
+	CurrentAt     time.Time     // time as of which the snapshot is known to be current
+	CurrentSince  time.Time     // since when it has been current without an outage of the store; zero if it is not current
+	WriteInterval time.Duration // interval at which endpoints write their entries
+	Service       *route.Service
+	Snapshot      *endpoint.Snapshot
+	Contacts      map[string]Contact    // by endpoint ID, for endpoints probed recently
+	Loads         map[string]int        // requests of all nodes, by endpoint ID of the head
+	Demand        map[string]int        // running and waiting requests of all nodes, by model
+	Mixes         map[string]engine.Mix // request mix of all nodes, by model
+	SuspectGroups map[string]bool       // groups that some node sees make no progress
+	Busy          bool                  // callers have begun to send requests
 }
 
-// Contact is what asking an endpoint directly has shown.
+// Contact is the result of recent direct probes of one endpoint.
 type Contact struct {
-	Answered time.Time // last answer
-	Busy     bool      // it was still carrying out an order then
-	Failed   time.Time // first failure since then; zero if the last try was answered
-	Refused  bool      // nothing listens at its address
-	Alone    time.Time // since when none of the other nodes that were asked has heard it either; zero if one has
+	LastAnswer   time.Time
+	Busy         bool      // at LastAnswer it was still carrying out an order
+	FailedSince  time.Time // first failed probe after LastAnswer; zero if the last probe was answered
+	Refused      bool      // nothing listens at its address, or another endpoint does
+	UnheardSince time.Time // since when no other node that was asked could reach it either; zero if one could
 }
 
 const (
-	// silentFor is how long an endpoint must fail to answer before it counts as down: a lost packet alone is
-	// sent again within it. For a member of a group that stands still one answer missed is enough.
-	silentFor      = 900 * time.Millisecond
-	silentForStill = 250 * time.Millisecond
-	// deadAfter is how long an endpoint that is not listed any more must be silent to all nodes before it counts
-	// as dead. Only then may the members of a group that it headed join others: it may still serve them.
+	// downAfter is how long an endpoint must fail to answer before it counts as down; within that time a single lost
+	// packet is retransmitted. For a member of a suspected group suspectDownAfter applies, which is one missed answer.
+	downAfter        = 900 * time.Millisecond
+	suspectDownAfter = 250 * time.Millisecond
+	// deadAfter is how long an endpoint that is no longer listed must be unreachable for all nodes before it counts as
+	// dead. Only then may the members of a group that it headed join others, because it may still serve with them.
 	deadAfter = 1200 * time.Millisecond
-	// lapseBeats is after how many beats without a write the platform removes an endpoint's entry.
-	lapseBeats = 3
-	// lapseSlack is what the removal may take beyond that to be known here: package follow holds removals back after the
-	// store was away, of which a part falls into the same time.
-	lapseSlack = 1400 * time.Millisecond
-	// leavesWithin is how long an endpoint that leaves may serve what it has begun after it has stopped listening.
-	leavesWithin = 11 * time.Second
+	// entryExpiryWrites is the number of missed writes after which the platform removes an endpoint's entry.
+	entryExpiryWrites = 3
+	// entryExpirySlack is the additional time until the removal is known here. Package follow holds removals back after
+	// an outage of the store, and part of the outage falls into the same time.
+	entryExpirySlack = 1400 * time.Millisecond
+	// maxDrainTime is how long an endpoint that leaves may serve its remaining requests after it has stopped listening.
+	maxDrainTime = 11 * time.Second
 )
 
-// down reports whether the endpoint does not answer, whether dead or cut off.
-func (v *View) down(id string) bool {
+// isDown reports whether the endpoint does not answer, because it is dead or unreachable.
+func (v *View) isDown(id string) bool {
 	if v.Snapshot.Gone[id].Over {
 		return true
 	}
 	c, ok := v.Contacts[id]
-	if !ok || c.Failed.IsZero() {
+	if !ok || c.FailedSince.IsZero() {
 		return false
 	}
-	needed := silentFor
-	if e := v.Snapshot.Endpoints[id]; e != nil && e.Membership != nil && v.Suspects[e.Membership.Group] {
-		needed = silentForStill
+	needed := downAfter
+	if e := v.Snapshot.Endpoints[id]; e != nil && e.Membership != nil && v.SuspectGroups[e.Membership.Group] {
+		needed = suspectDownAfter
 	}
-	return c.Refused || v.Now.Sub(c.Failed) >= needed
+	return c.Refused || v.Now.Sub(c.FailedSince) >= needed
 }
 
-// dead reports whether the life of the endpoint is certainly over.
-func (v *View) dead(id string) bool {
+// isDead reports whether the endpoint has certainly ended.
+func (v *View) isDead(id string) bool {
 	if v.Snapshot.Gone[id].Over {
 		return true
 	}
 	c, ok := v.Contacts[id]
-	if !ok || c.Failed.IsZero() {
+	if !ok || c.FailedSince.IsZero() {
 		return false
 	}
 	if c.Refused {
-		return v.ended(id, c)
+		return v.hasEnded(id, c)
 	}
 	_, gone := v.Snapshot.Gone[id]
-	return gone && !c.Alone.IsZero() && v.Now.Sub(c.Alone) >= deadAfter
+	return gone && !c.UnheardSince.IsZero() && v.Now.Sub(c.UnheardSince) >= deadAfter
 }
 
-// ended reports whether an endpoint where nothing listens has ended. One that leaves stops listening before that and
-// serves what it has begun: it is listed as draining until it has ended, or is not listed from the beginning.
-func (v *View) ended(id string, c Contact) bool {
-	if v.AsOf.Before(c.Failed) {
-		return false // it may have begun to leave meanwhile
+// hasEnded reports whether an endpoint where nothing listens has ended. An endpoint that leaves stops listening first
+// and then finishes its requests: until it has ended it is listed as draining, or is not listed at all.
+func (v *View) hasEnded(id string, c Contact) bool {
+	if v.CurrentAt.Before(c.FailedSince) {
+		return false // it may have started to leave since
 	}
-	if e, listed := v.Snapshot.Endpoints[id]; listed && v.confirmed() {
+	if e, listed := v.Snapshot.Endpoints[id]; listed && v.listConfirmed() {
 		return !e.Draining
 	} else if listed {
-		return v.Now.Sub(c.Failed) >= leavesWithin
+		return v.Now.Sub(c.FailedSince) >= maxDrainTime
 	}
 	if gone, known := v.Snapshot.Gone[id]; known && gone.Endpoint.Draining {
 		return true
 	}
-	return v.Now.Sub(c.Failed) >= leavesWithin
+	return v.Now.Sub(c.FailedSince) >= maxDrainTime
 }
 
-// confirmed reports whether what is listed is certainly in the store. After the store was away, removals are held back
-// for some time: an endpoint that has left meanwhile without a word is still listed.
-func (v *View) confirmed() bool {
-	return !v.Steady.IsZero() && v.Now.Sub(v.Steady) >= lapseBeats*v.Beat+lapseSlack
+// listConfirmed reports whether every listed entry is certainly in the store. After an outage of the store removals are
+// held back for some time, so an endpoint that left during the outage without announcing it is still listed.
+func (v *View) listConfirmed() bool {
+	return !v.CurrentSince.IsZero() && v.Now.Sub(v.CurrentSince) >= entryExpiryWrites*v.WriteInterval+entryExpirySlack
 }
 
-// answers reports whether the endpoint has answered a direct question within that time.
-func (v *View) answers(id string, within time.Duration) bool {
+// answeredWithin reports whether the last probe was answered, and no longer ago than that.
+func (v *View) answeredWithin(id string, within time.Duration) bool {
 	c, ok := v.Contacts[id]
-	return ok && c.Failed.IsZero() && v.Now.Sub(c.Answered) <= within
+	return ok && c.FailedSince.IsZero() && v.Now.Sub(c.LastAnswer) <= within
 }
--- a/internal/formation/world_test.go
+++ b/internal/formation/world_test.go
@@ -11,7 +11,7 @@
 
 var origin = time.Unix(1000, 0)
 
-// testService has a model of three members and one of two.
+// testService has a model with groups of three endpoints and one with groups of two.
 func testService() *route.Service {
 	return &route.Service{Name: "lm", Engine: &route.Engine{
 		Slots: 10, LoadsPerSecond: 5, LoadsAtOnce: 4,
@@ -22,48 +22,48 @@
 	}}
 }
 
-// worker is an endpoint of the fake world.
-type worker struct {
+// fakeEndpoint is an endpoint of a simulation.
+type fakeEndpoint struct {
 	endpoint.Endpoint
-	up      bool
-	cut     bool // from the store: its entry goes
-	silent  bool // to the leader, whose orders do not reach it, though others hear it
-	lostAt  time.Time
-	seen    int64     // the highest epoch of a join taken
-	readyAt time.Time // of the join under way
-	failed  time.Time // the leader's first question without an answer
+	up              bool
+	storeCut        bool // cut off from the store, so its entry expires
+	leaderCut       bool // cut off from the leader, whose orders do not arrive, but reachable for other nodes
+	lostAt          time.Time
+	maxEpoch        int64     // highest epoch of an accepted join
+	readyAt         time.Time // when the join in progress ends
+	firstUnanswered time.Time // first unanswered probe of the leader
 }
 
-// pending is an order on its way.
-type pending struct {
-	planner *Planner
-	order   Order
-	at      time.Time
-	mute    bool // its answer is lost
+// pendingOrder is an order on its way to an endpoint.
+type pendingOrder struct {
+	planner   *Planner
+	order     Order
+	at        time.Time
+	replyLost bool // the leader gets no answer
 }
 
-// world is some fabric domains of endpoints that take orders as the platform's workers do.
-type world struct {
-	domainSize int // endpoints of a domain; 0: there is only one domain
+// simulation simulates fabric domains of endpoints that carry out orders as those of the platform do.
+type simulation struct {
+	domainSize int // endpoints in a domain; 0 puts all into one domain
 	busy       bool
 	demand     map[string]int
 	now        time.Time
 	service    *route.Service
-	workers    map[string]*worker
-	ready      map[string]map[string]bool // group and epoch → members that have been ready in it
-	wanted     map[string][]string        // group and epoch → its members
-	orders     []pending
-	born       int
+	endpoints  map[string]*fakeEndpoint
+	everReady  map[string]map[string]bool // endpoints that have been ready, by group and epoch
+	members    map[string][]string        // IDs of the members, by group and epoch
+	orders     []pendingOrder
+	created    int
 	fail       func(format string, args ...any)
-	history    []*endpoint.Snapshot // of earlier moments, for planners that see late
+	history    []*endpoint.Snapshot // of earlier steps, for planners with an outdated view
 	opened     int
 	log        func(format string, args ...any)
 }
 
-func newWorld(n int, fail func(string, ...any)) *world {
-	w := &world{
-		now: origin, service: testService(), workers: make(map[string]*worker), ready: make(map[string]map[string]bool),
-		wanted: make(map[string][]string), fail: fail, log: func(string, ...any) {},
+func newSimulation(n int, fail func(string, ...any)) *simulation {
+	w := &simulation{
+		now: origin, service: testService(), endpoints: make(map[string]*fakeEndpoint), everReady: make(map[string]map[string]bool),
+		members: make(map[string][]string), fail: fail, log: func(string, ...any) {},
 	}
 	for range n {
 		w.add()
@@ -71,20 +71,20 @@
 	return w
 }
 
-func (w *world) add() {
-	w.born++
-	id, domain := fmt.Sprintf("w%02d", w.born), "d"
+func (w *simulation) add() {
+	w.created++
+	id, domain := fmt.Sprintf("w%02d", w.created), "d"
 	if w.domainSize > 0 {
-		domain = fmt.Sprint("d", (w.born-1)/w.domainSize)
+		domain = fmt.Sprint("d", (w.created-1)/w.domainSize)
 	}
-	w.workers[id] = &worker{up: true, Endpoint: endpoint.Endpoint{ID: id, Service: "lm", Domain: domain, Address: id}}
+	w.endpoints[id] = &fakeEndpoint{up: true, Endpoint: endpoint.Endpoint{ID: id, Service: "lm", Domain: domain, Address: id}}
 }
 
 func key(group string, epoch int64) string { return fmt.Sprintf("%s@%d", group, epoch) }
 
-// headOf returns the living head of a worker's group.
-func (w *world) headOf(m *endpoint.Membership) *worker {
-	for _, x := range w.workers {
+// headOf returns the live head of the group, or nil.
+func (w *simulation) headOf(m *endpoint.Membership) *fakeEndpoint {
+	for _, x := range w.endpoints {
 		if x.up && x.Membership != nil && x.Membership.Group == m.Group && x.Membership.Epoch == m.Epoch && x.Membership.Rank == 0 {
 			return x
 		}
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// take carries an order out at its endpoint, checks what must hold, and returns the answer.
-func (w *world) take(o Order) Outcome {
-	x := w.workers[o.Endpoint.ID]
+// apply carries out an order at its endpoint, checks the invariants and returns the outcome.
+func (w *simulation) apply(o Order) Outcome {
+	x := w.endpoints[o.Endpoint.ID]
 	w.log("%5d ms %s %s %s of %v", w.now.Sub(origin).Milliseconds(), o.Endpoint.ID, o.Kind, o.Group, o.Members)
 	if x == nil || !x.up {
 		return Elsewhere
@@ -107,13 +107,13 @@
 		if m == nil || m.Group != o.Group || m.Epoch != o.Epoch || m.Rank != 0 || m.State != endpoint.Ready {
 			return Refused
 		}
-		for _, id := range w.wanted[key(o.Group, o.Epoch)] {
-			if !w.ready[key(o.Group, o.Epoch)][id] {
-				w.fail("PARTIAL: %s opens though %s has never been ready in it", o.Group, id)
+		for _, id := range w.members[key(o.Group, o.Epoch)] {
+			if !w.everReady[key(o.Group, o.Epoch)][id] {
+				w.fail("incomplete group: %s opens but member %s has never been ready in it", o.Group, id)
 			}
 		}
 		w.opened++
-		w.set(x, endpoint.Open)
+		w.setState(x, endpoint.Open)
 	case Leave:
 		if m != nil && m.Group == o.Group && m.Epoch == o.Epoch {
 			x.Membership = nil
@@ -126,17 +126,17 @@
 	return Taken
 }
 
-func (w *world) join(x *worker, o Order) Outcome {
-	if o.Epoch < x.seen {
+func (w *simulation) join(x *fakeEndpoint, o Order) Outcome {
+	if o.Epoch < x.maxEpoch {
 		return Refused
 	}
 	if m := x.Membership; m != nil && m.Group != o.Group {
 		if head := w.headOf(m); head != nil && (head.Membership.State == endpoint.Open || head.Membership.State == endpoint.Closing) {
-			w.fail("TWO: %s is joined to %s while %s is open at %s", x.ID, o.Group, m.Group, head.ID)
+			w.fail("member of two groups: %s joins %s while its group %s is open at head %s", x.ID, o.Group, m.Group, head.ID)
 		}
 	}
-	x.seen = o.Epoch
-	w.wanted[key(o.Group, o.Epoch)] = o.Members
+	x.maxEpoch = o.Epoch
+	w.members[key(o.Group, o.Epoch)] = o.Members
 	x.Membership = &endpoint.Membership{Group: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, x.ID), State: endpoint.Joining}
 	x.Revision++
 	x.Models = []string{o.Model}
@@ -144,42 +144,42 @@
 	return Taken
 }
 
-func (w *world) set(x *worker, s endpoint.State) {
+func (w *simulation) setState(x *fakeEndpoint, s endpoint.State) {
 	m := *x.Membership
 	m.State = s
 	x.Membership = &m
 	x.Revision++
 }
 
-// pass lets time go on.
-func (w *world) pass(d time.Duration) {
+// advance moves the time forward, completes joins that are due and records a snapshot.
+func (w *simulation) advance(d time.Duration) {
 	w.now = w.now.Add(d)
-	for _, x := range w.workers {
+	for _, x := range w.endpoints {
 		m := x.Membership
 		if x.up && m != nil && m.State == endpoint.Joining && !w.now.Before(x.readyAt) {
-			w.set(x, endpoint.Ready)
+			w.setState(x, endpoint.Ready)
 			k := key(m.Group, m.Epoch)
-			if w.ready[k] == nil {
-				w.ready[k] = make(map[string]bool)
+			if w.everReady[k] == nil {
+				w.everReady[k] = make(map[string]bool)
 			}
-			w.ready[k][x.ID] = true
+			w.everReady[k][x.ID] = true
 		}
 	}
 	w.history = append(w.history, w.snapshot())
 }
 
-const entryKept = 3600 * time.Millisecond
+const entryTTL = 3600 * time.Millisecond
 
-// snapshot is what the store lists now.
-func (w *world) snapshot() *endpoint.Snapshot {
+// snapshot returns what the store lists now.
+func (w *simulation) snapshot() *endpoint.Snapshot {
 	d := endpoint.NewDirectory(time.Second)
 	var listed []*endpoint.Endpoint
 	var all []*endpoint.Endpoint
 	var gone []string
-	for id, x := range w.workers {
+	for id, x := range w.endpoints {
 		copied := x.Endpoint
 		all = append(all, &copied)
-		if (!x.up || x.cut) && w.now.Sub(x.lostAt) > entryKept {
+		if (!x.up || x.storeCut) && w.now.Sub(x.lostAt) > entryTTL {
 			gone = append(gone, id)
 			continue
 		}
@@ -190,63 +190,63 @@
 	return d.Read()
 }
 
-// view is what a planner sees, late steps ago.
-func (w *world) view(late int) *View {
-	at := max(0, len(w.history)-1-late)
+// view returns the view of a planner whose snapshot is that many steps old.
+func (w *simulation) view(stepsBehind int) *View {
+	at := max(0, len(w.history)-1-stepsBehind)
 	snapshot := w.history[at]
-	v := &View{Now: w.now, Steady: origin.Add(-time.Hour), AsOf: w.now.Add(-time.Duration(len(w.history)-1-at) * tick), Service: w.service, Snapshot: snapshot, Contacts: make(map[string]Contact), Loads: make(map[string]int), Suspects: make(map[string]bool), Demand: w.demand, Busy: w.busy}
-	for id, x := range w.workers {
-		if !x.failed.IsZero() {
-			contact := Contact{Failed: x.failed}
+	v := &View{Now: w.now, CurrentSince: origin.Add(-time.Hour), CurrentAt: w.now.Add(-time.Duration(len(w.history)-1-at) * tick), Service: w.service, Snapshot: snapshot, Contacts: make(map[string]Contact), Loads: make(map[string]int), SuspectGroups: make(map[string]bool), Demand: w.demand, Busy: w.busy}
+	for id, x := range w.endpoints {
+		if !x.firstUnanswered.IsZero() {
+			contact := Contact{FailedSince: x.firstUnanswered}
 			if !x.up {
-				contact.Alone = x.failed
+				contact.UnheardSince = x.firstUnanswered
 			}
 			v.Contacts[id] = contact
 		}
 		if !x.up && x.Membership != nil {
-			v.Suspects[x.Membership.Group] = true
+			v.SuspectGroups[x.Membership.Group] = true
 		}
 	}
 	return v
 }
 
-// step lets a planner look and sends its orders.
-func (w *world) step(p *Planner, late int, delay func() (time.Duration, bool)) {
-	orders, ask := p.Step(w.view(late))
+// step runs one step of a planner and queues its orders with the delay and loss of answers that delay returns.
+func (w *simulation) step(p *Planner, stepsBehind int, delay func() (time.Duration, bool)) {
+	orders, probe := p.Step(w.view(stepsBehind))
 	checkCommitments(p, w.fail)
 	for _, o := range orders {
-		after, mute := delay()
-		w.orders = append(w.orders, pending{p, o, w.now.Add(after), mute})
-		if mute {
+		after, replyLost := delay()
+		w.orders = append(w.orders, pendingOrder{p, o, w.now.Add(after), replyLost})
+		if replyLost {
 			p.RecordOutcome(o, Unknown, w.now)
 		}
 	}
-	for _, id := range ask {
-		x := w.workers[id]
+	for _, id := range probe {
+		x := w.endpoints[id]
 		switch {
 		case x == nil:
-		case x.up && !x.silent:
-			x.failed = time.Time{}
-		case x.failed.IsZero():
-			x.failed = w.now
+		case x.up && !x.leaderCut:
+			x.firstUnanswered = time.Time{}
+		case x.firstUnanswered.IsZero():
+			x.firstUnanswered = w.now
 		}
 	}
 }
 
 // deliver carries out the orders that are due.
-func (w *world) deliver() {
-	var left []pending
+func (w *simulation) deliver() {
+	var left []pendingOrder
 	for _, d := range w.orders {
 		if w.now.Before(d.at) {
 			left = append(left, d)
 			continue
 		}
-		x := w.workers[d.order.Endpoint.ID]
+		x := w.endpoints[d.order.Endpoint.ID]
 		outcome := Unknown
-		if x == nil || x.up && !x.silent {
-			outcome = w.take(d.order)
+		if x == nil || x.up && !x.leaderCut {
+			outcome = w.apply(d.order)
 		}
-		if !d.mute {
+		if !d.replyLost {
 			d.planner.RecordOutcome(d.order, outcome, w.now)
 		}
 	}
