--- a/internal/formation/busy_test.go
+++ b/internal/formation/busy_test.go
@@ -13,21 +13,21 @@
 
 // fleetListing lists endpoints of several domains while requests arrive.
 type fleetListing struct {
-	endpoints []*endpoint.Endpoint
-	demand    map[string]int
-	now       time.Time
+	entries []*endpoint.Endpoint
+	demand  map[string]int
+	now     time.Time
 }
 
 // add lists an endpoint that holds one model and has another staged on its host; either may be empty.
 func (s *fleetListing) add(domain, model, staged string) *endpoint.Endpoint {
-	e := &endpoint.Endpoint{ID: fmt.Sprintf("e%02d", len(s.endpoints)), Service: "lm", Domain: domain, Revision: 1}
+	e := &endpoint.Endpoint{ID: fmt.Sprintf("e%02d", len(s.entries)), Service: "lm", Domain: domain, Revision: 1}
 	if model != "" {
 		e.Models = []string{model}
 	}
 	if staged != "" {
 		e.Staged = []string{staged}
 	}
-	s.endpoints = append(s.endpoints, e)
+	s.entries = append(s.entries, e)
 	return e
 }
 
@@ -54,7 +54,7 @@
 
 func (s *fleetListing) view() *View {
 	d := endpoint.NewDirectory(time.Second)
-	d.Apply(s.endpoints, nil, s.now)
+	d.Apply(s.entries, nil, s.now)
 	return &View{Now: s.now, CurrentAt: s.now, CurrentSince: origin.Add(-time.Hour), Service: testService(), Snapshot: d.Read(), Demand: s.demand, Busy: true}
 }
 
@@ -70,7 +70,7 @@
 }
 
 func TestEndpointsUnusableByTheModelUnderPressureServeTheOther(t *testing.T) {
-	s := &fleetListing{demand: map[string]int{"big": 9, "small": 1}} // pressures 0.9 and 0.1
+	s := &fleetListing{demand: map[string]int{"big": 9, "small": 1}} // 0.9 and 0.1 of their slots in use
 	s.group("a", "d1", "big", "small", 3)
 	s.group("b", "d1", "small", "big", 2)
 	one, two := s.add("d2", "", "small"), s.add("d2", "", "small")
@@ -104,7 +104,7 @@
 }
 
 func TestNoConversionWhenBothModelsAreUnderPressure(t *testing.T) {
-	s := &fleetListing{demand: map[string]int{"big": 8, "small": 12}} // pressures 0.8 and 0.6
+	s := &fleetListing{demand: map[string]int{"big": 8, "small": 12}} // 0.8 and 0.6 of their slots in use
 	s.group("a", "d1", "big", "small", 3)
 	s.group("b", "d2", "small", "big", 2)
 	s.group("c", "d3", "small", "big", 2)
@@ -153,7 +153,7 @@
 	sent, _ := s.newSettledPlanner().Step(s.view())
 	qt.Check(t, modelsByEndpoint(sent, Join), qt.DeepEquals, map[string]string{"e05": "big", "e06": "big", "e07": "big"})
 	s.demand = map[string]int{"big": 5, "small": 6}
-	s.endpoints = s.endpoints[:7]
+	s.entries = s.entries[:7]
 	s.add("d2", "", "") // leaves only two endpoints in d2 that hold big
 	s.add("d1", "big", "small")
 	sent, _ = s.newSettledPlanner().Step(s.view())
@@ -165,7 +165,7 @@
 	s.group("a", "d1", "big", "small", 3)
 	s.group("b", "d1", "small", "big", 2)
 	s.group("c", "d2", "big", "small", 3)
-	s.endpoints[5].Membership = nil // the head of c
+	s.entries[5].Membership = nil // the head of c
 	v := s.view()
 	qt.Check(t, s.newSettledPlanner().assignedEndpoints(v), qt.DeepEquals, map[string]int{"big": 3, "small": 2})
 }
@@ -212,7 +212,7 @@
 	// head of its own still served.
 	s := &fleetListing{demand: map[string]int{"big": 1, "small": 1}}
 	s.group("a", "d1", "big", "small", 3)
-	head := s.endpoints[0]
+	head := s.entries[0]
 	head.Draining = true
 	p, v := s.newSettledPlanner(), s.view()
 	p.retire(v, "a", 1, head, "a member is leaving", 0)
@@ -293,7 +293,7 @@
 }
 
 func TestConversionOfOneGroupCompletesAnIncompleteGroup(t *testing.T) {
-	s := &fleetListing{demand: map[string]int{"big": 32, "small": 19}} // 0.8 and 0.48 of their slots
+	s := &fleetListing{demand: map[string]int{"big": 32, "small": 19}} // 0.8 and 0.48 of their slots in use
 	for _, name := range []string{"a", "b", "c", "d"} {
 		s.group(name, "d2", "big", "small", 3)
 	}
--- a/internal/formation/candidate.go
+++ b/internal/formation/candidate.go
@@ -82,7 +82,7 @@
 // worthForming adds up what the candidate costs the other models and reports whether it may be formed in spite of that.
 // Each model that could form fewer groups must stay at or below its target utilisation with the groups that it could
 // still have, or m must be under far more pressure than that model would be.
-func (p *Planner) worthForming(v *View, copies modelCopies, have map[string]int, m route.Model, c *candidate) bool {
+func (p *Planner) worthForming(v *View, copiesByModel modelCopies, have map[string]int, m route.Model, c *candidate) bool {
 	need := p.pressure(v, m, have)
 	for _, other := range v.Service.Engine.Models {
 		evicted := 0
@@ -91,13 +91,13 @@
 				evicted++
 			}
 		}
-		lost := copies.groupsLost(other, c.domain, evicted)
+		lost := copiesByModel.groupsLost(other, c.domain, evicted)
 		c.evictions += evicted
 		c.groupsLost += lost
 		if lost == 0 {
 			continue
 		}
-		if remaining := p.potentialPressure(v, copies, other, lost); remaining > targetUtilisation && need < evictionPressureRatio*remaining {
+		if remaining := p.potentialPressure(v, copiesByModel, other, lost); remaining > targetUtilisation && need < evictionPressureRatio*remaining {
 			return false
 		}
 	}
--- a/internal/formation/commitments.go
+++ b/internal/formation/commitments.go
@@ -1,7 +1,7 @@
 package formation
 
 // commitments indexes the endpoints that the plans and retirements of a tenure involve. Each step looks up every
-// endpoint several times: scanning all plans for each lookup took the leader of 3,040 endpoints 0.15 s a step, and grew
+// endpoint several times: scanning all plans for each lookup took the leader of 3,040 endpoints 0.15 s a step, a time that grew
 // with the square of the fleet size.
 type commitments struct {
 	planByMember      map[string]*plan // by endpoint ID of the member
--- a/internal/formation/planner_test.go
+++ b/internal/formation/planner_test.go
@@ -39,7 +39,7 @@
 	runFor(w, NewPlanner(1, origin), 8*time.Second)
 	qt.Check(t, openGroups(w), qt.DeepEquals, map[string]int{"big": 2, "small": 2})
 	for _, x := range w.endpoints {
-		qt.Check(t, x.Staged, qt.HasLen, 1, qt.Commentf("%s should have one model staged", x.ID))
+		qt.Check(t, x.Staged, qt.HasLen, 1, qt.Commentf("%s should have the other model staged", x.ID))
 	}
 }
 
--- a/internal/formation/reach.go
+++ b/internal/formation/reach.go
@@ -31,8 +31,8 @@
 
 // domainSelection is the set of fabric domains whose members should have a second model.
 type domainSelection struct {
-	domains       map[string]bool
-	endpointCount int // endpoints listed when the domains were selected
+	domains     map[string]bool
+	listedCount int // endpoints listed when the domains were selected
 }
 
 // selectedDomains returns the fabric domains whose members should have a second model, enough for the endpoints that
@@ -40,7 +40,7 @@
 // they spread over the data centres. They are selected again when the number of endpoints changes.
 func (p *Planner) selectedDomains(v *View) map[string]bool {
 	listed := v.Snapshot.Services[v.Service.Name]
-	if p.conversionDomains.endpointCount != len(listed) {
+	if p.conversionDomains.listedCount != len(listed) {
 		p.conversionDomains = domainSelection{selectDomains(listed, convertibleEndpoints(v.Service.Engine)), len(listed)}
 	}
 	return p.conversionDomains.domains
--- a/internal/formation/stage.go
+++ b/internal/formation/stage.go
@@ -135,10 +135,10 @@
 // first: the one with the highest pressure if it had every endpoint with a copy. While no model is in need, endpoints
 // that conversions cannot use are left out.
 func (p *Planner) secondModelTargets(v *View) []stageTarget {
-	copies := p.countCopies(v)
+	copiesByModel := p.countCopies(v)
 	scarcity := make(map[string]float64)
 	for _, m := range v.Service.Engine.Models {
-		scarcity[m.Name] = p.potentialPressure(v, copies, m, 0)
+		scarcity[m.Name] = p.potentialPressure(v, copiesByModel, m, 0)
 	}
 	selected, inNeed := p.selectedDomains(v), p.anyModelInNeed(v)
 	var out []stageTarget
--- a/internal/formation/stage_test.go
+++ b/internal/formation/stage_test.go
@@ -122,14 +122,14 @@
 	v := (&fleetListing{}).view()
 	members := map[string]int{"big": 3, "small": 4} // a loss idles two other members of big, or one of small
 	spares := make(map[string]int)
-	var chosen []string
+	var picked []string
 	for range 3 {
 		m, found := spareModel(v, members, spares)
 		qt.Assert(t, found, qt.IsTrue)
 		spares[m.Name]++
-		chosen = append(chosen, m.Name)
+		picked = append(picked, m.Name)
 	}
-	qt.Check(t, chosen, qt.DeepEquals, []string{"big", "small", "big"})
+	qt.Check(t, picked, qt.DeepEquals, []string{"big", "small", "big"})
 	_, found := spareModel(v, nil, nil)
 	qt.Check(t, found, qt.IsFalse, qt.Commentf("a domain without groups needs no spare model"))
 }
