--- a/internal/gossip/beat_kind.go
+++ b/internal/gossip/beat_kind.go
@@ -1,18 +1,18 @@
 package gossip
 
-// BeatKind says what a beat is sent for.
+// BeatKind classifies a beat by its sender and receiver. Its values are the kinds by which sent beats are counted.
 type BeatKind string
 
 const (
-	// Report is a node's beat to a relay of its own.
-	Report BeatKind = "report"
-	// ToRelay is a relay's beat to another one.
-	ToRelay BeatKind = "relay"
-	// ToSubscriber is a relay's answer to a report.
-	ToSubscriber BeatKind = "subscriber"
-	// ToStray goes to a node that is not heard regularly.
-	ToStray BeatKind = "stray"
+	// ReportBeat goes from a node that is not a relay to a relay that it subscribes to.
+	ReportBeat BeatKind = "report"
+	// RelayBeat goes from one relay to another.
+	RelayBeat BeatKind = "relay"
+	// SubscriberBeat is a relay's reply to a ReportBeat.
+	SubscriberBeat BeatKind = "subscriber"
+	// StrayBeat goes to a node that the sender does not exchange beats with regularly.
+	StrayBeat BeatKind = "stray"
 )
 
-// BeatKinds are all of them.
-var BeatKinds = []BeatKind{Report, ToRelay, ToSubscriber, ToStray}
+// BeatKinds lists all beat kinds.
+var BeatKinds = []BeatKind{ReportBeat, RelayBeat, SubscriberBeat, StrayBeat}
--- a/internal/gossip/caller.go
+++ b/internal/gossip/caller.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	pooledPerPeer = 2
-	pooledFor     = 30 * time.Second
-	dialWait      = 300 * time.Millisecond
+	maxPooledPerPeer = 2
+	pooledConnExpiry = 30 * time.Second
+	dialTimeout      = 300 * time.Millisecond
 )
 
-// errRestarted means that another process answers at the address than was asked.
-var errRestarted = errors.New("the node has started anew")
+// errRestarted means that the process at the address is not the incarnation that was asked for.
+var errRestarted = errors.New("the node has restarted: its incarnation differs from the requested one")
 
-// Dial connects to another node's peer address.
+// Dial opens a connection to another node's peer address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// DialTCP connects over TCP.
+// DialTCP is a Dial that uses TCP and gives up after dialTimeout.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialWait}
+	d := net.Dialer{Timeout: dialTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Caller makes calls to other nodes over pooled connections.
+// Caller makes drpc calls to other nodes over pooled connections.
 type Caller struct {
 	dial Dial
 	pool *drpcpool.Pool[string, drpcpool.Conn]
-	unpacker
+	decompressor
 }
 
-// NewCaller returns a Caller that connects by dial.
+// NewCaller returns a Caller that opens connections with dial.
 func NewCaller(dial Dial) *Caller {
-	pool := drpcpool.New[string, drpcpool.Conn](drpcpool.Options{KeyCapacity: pooledPerPeer, Expiration: pooledFor})
-	return &Caller{dial, pool, newUnpacker()}
+	pool := drpcpool.New[string, drpcpool.Conn](drpcpool.Options{KeyCapacity: maxPooledPerPeer, Expiration: pooledConnExpiry})
+	return &Caller{dial, pool, newDecompressor()}
 }
 
 func (c *Caller) client(ctx context.Context, address string) gossippb.DRPCGossipClient {
@@ -56,7 +56,8 @@
 	return gossippb.NewDRPCGossipClient(drpc.Conn(conn))
 }
 
-// Pull fetches what the node has taken in since a sequence of its own, or of that what is needed for routing.
+// Pull fetches the store objects that the node has received after its own sequence number since; with routing set, only
+// those needed for routing. It returns the sequence number that the reply reaches.
 func (c *Caller) Pull(ctx context.Context, address, incarnation string, since uint64, routing bool) (uint64, []infra.Object, error) {
 	reply, err := c.client(ctx, address).Pull(ctx, &gossippb.PullRequest{Incarnation: incarnation, Since: since, Routing: routing})
 	if err != nil {
@@ -65,14 +66,14 @@
 	if reply.Incarnation != incarnation {
 		return 0, nil, errRestarted
 	}
-	objects, err := c.unpack(reply)
+	objects, err := c.decompress(reply)
 	if err != nil {
 		return 0, nil, err
 	}
 	return reply.Sequence, objectsFromWire(objects), nil
 }
 
-// Probe asks the node whether an endpoint answers it.
+// Probe asks the node at address to contact an endpoint and reports whether that endpoint answered.
 func (c *Caller) Probe(ctx context.Context, address, id, endpointAddress string) (bool, error) {
 	reply, err := c.client(ctx, address).Probe(ctx, &gossippb.ProbeRequest{Id: id, Address: endpointAddress})
 	if err != nil {
--- a/internal/gossip/caller_test.go
+++ b/internal/gossip/caller_test.go
@@ -16,12 +16,12 @@
 func TestCallAfterOneThatWasNotAnsweredGetsANewConnection(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	quiet := silence.New(lis)
+	silent := silence.New(lis)
 	m := mirror.New()
 	m.Put(infra.Object{Key: "a", Version: 1, Value: []byte("1")})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = NewServer("1", m, nil).Serve(ctx, quiet) }()
+	go func() { _ = NewServer("1", m, nil).Serve(ctx, silent) }()
 	caller := NewCaller(DialTCP)
 	t.Cleanup(func() { _ = caller.Close() })
 	pull := func(within time.Duration) error {
@@ -31,7 +31,7 @@
 		return err
 	}
 	qt.Assert(t, pull(10*time.Second), qt.IsNil)
-	qt.Assert(t, quiet.Silence() > 0, qt.IsTrue)
+	qt.Assert(t, silent.Silence() > 0, qt.IsTrue)
 	qt.Check(t, pull(300*time.Millisecond), qt.IsNotNil)
 	qt.Check(t, pull(10*time.Second), qt.IsNil)
 }
--- a/internal/gossip/contact.go
+++ b/internal/gossip/contact.go
@@ -8,89 +8,91 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// contact is one address that this node exchanges beats with.
+// contact is the state kept for one gossip address that this node exchanges beats with.
 type contact struct {
-	address netip.AddrPort
-	clock   freshness.Clock
-	echo    uint64
-	peer    *Peer // nil until heard
-	told    *Peer // what its registration says; nil if it was not found by one
-	sent    time.Time
-	added   time.Time
-	named   time.Time // another node last told of it
-	seldom  bool      // this node tells it little, being idle
-	tick    uint64    // the highest taken in of that incarnation
-	tried   time.Time // since when it has been sent to without being heard; zero if it answers
+	address         netip.AddrPort
+	clock           freshness.Clock
+	echo            uint64 // the last tick received from this contact, echoed in the next beat to it
+	peer            *Peer  // from its last beat; nil until one is received
+	registered      *Peer  // from its registration; nil if it was not introduced by one
+	lastSent        time.Time
+	addedAt         time.Time
+	mentionedAt     time.Time // when another node last listed it among the nodes that it knows
+	idleRate        bool      // this node is idle and sends it beats at the longer idle interval
+	lastTick        uint64    // the highest tick accepted from peer's incarnation
+	unansweredSince time.Time // the first beat sent to it since it stopped answering; zero if it answers
 
-	exchange exchangeState // of what is known of requests that end endpoints
+	quarantine tableSync // how far the two nodes' tables of suspected requests are synchronized
 
-	// What its last beat said.
-	subscribes bool
-	reports    bool
-	wholeFleet bool
-	holds      map[uint64]bool // rosters that it has
-	rosters    []uint64        // rosters that it goes by
+	// From its last beat.
+	subscribes   bool
+	reports      bool
+	wholeFleet   bool
+	knownRosters map[uint64]bool // digests of the rosters that it has
+	usedRosters  []uint64        // digests of the rosters that it uses
 }
 
-func (c *contact) fresh(now time.Time) bool { return c.peer != nil && c.peer.Fresh(now, c.liveFor()) }
+func (c *contact) alive(now time.Time) bool { return c.peer != nil && c.peer.Fresh(now, c.timeout()) }
 
-// liveFor is how long it counts as live after it was last heard.
-func (c *contact) liveFor() time.Duration {
-	if c.seldom || c.peer.Idle && !c.peer.Relay {
-		return idleLiveFor
+// timeout returns how long the contact counts as live after it was last heard.
+func (c *contact) timeout() time.Duration {
+	if c.idleRate || c.peer.Idle && !c.peer.Relay {
+		return idleLivenessTimeout
 	}
-	return LiveFor
+	return LivenessTimeout
 }
 
-// relay reports whether it is heard and passes on what others tell it.
-func (c *contact) relay(now time.Time) bool { return c.fresh(now) && c.peer.Relay }
+// isRelay reports whether the contact is a live relay.
+func (c *contact) isRelay(now time.Time) bool { return c.alive(now) && c.peer.Relay }
 
-// reporter reports whether this node passes on what it tells.
-func (c *contact) reporter(now time.Time) bool { return c.fresh(now) && c.reports && !c.peer.Relay }
+// isReporter reports whether the contact is a live node whose status this node passes on to the rest of the fleet.
+func (c *contact) isReporter(now time.Time) bool { return c.alive(now) && c.reports && !c.peer.Relay }
 
-// silent reports whether it has been tried for long enough without an answer.
-func (c *contact) silent(now time.Time) bool {
-	return !c.fresh(now) && !c.tried.IsZero() && now.Sub(c.tried) > LiveFor && now.Sub(c.tried) < retryRelay
+// isUnresponsive reports whether the contact has not answered for more than LivenessTimeout. After relayRetryDelay it is
+// no longer reported as unresponsive, so that it is tried again.
+func (c *contact) isUnresponsive(now time.Time) bool {
+	return !c.alive(now) && !c.unansweredSince.IsZero() && now.Sub(c.unansweredSince) > LivenessTimeout && now.Sub(c.unansweredSince) < relayRetryDelay
 }
 
-// presumed returns a node that has registered and was not heard yet, if it may be there.
-func (c *contact) presumed(now time.Time) *Peer {
-	if c.peer != nil || c.told == nil || c.silent(now) || now.Sub(c.added) > forgetAfter {
+// presumedPeer returns the registration of a node that has not been heard yet but may be running, else nil.
+func (c *contact) presumedPeer(now time.Time) *Peer {
+	if c.peer != nil || c.registered == nil || c.isUnresponsive(now) || now.Sub(c.addedAt) > contactExpiry {
 		return nil
 	}
-	return c.told
+	return c.registered
 }
 
-// promising reports whether it probably lives and relays: another node has just told of it, or it was one when it was
-// last heard.
-func (c *contact) promising(now time.Time) bool {
-	return now.Sub(c.named) < slowEvery || c.peer != nil && c.peer.Relay
+// isLikelyRelay reports whether the contact is probably a live relay: another node has listed it within
+// unresponsiveInterval, or it was a relay when it was last heard.
+func (c *contact) isLikelyRelay(now time.Time) bool {
+	return now.Sub(c.mentionedAt) < unresponsiveInterval || c.peer != nil && c.peer.Relay
 }
 
-func (c *contact) lastSign() time.Time {
-	if c.peer != nil && c.peer.Heard.After(c.added) {
+// lastActivity returns when the contact was last heard or added, whichever is later.
+func (c *contact) lastActivity() time.Time {
+	if c.peer != nil && c.peer.Heard.After(c.addedAt) {
 		return c.peer.Heard
 	}
-	return c.added
+	return c.addedAt
 }
 
-// sending notes that a beat is sent and returns its number and the last one heard.
-func (c *contact) sending(now time.Time) (tick, echo uint64) {
-	if !c.fresh(now) && (c.tried.IsZero() || now.Sub(c.tried) >= retryRelay) {
-		c.tried = now
+// recordSend records that a beat is sent to the contact and returns the beat's tick and the last tick received from there.
+func (c *contact) recordSend(now time.Time) (tick, echo uint64) {
+	if !c.alive(now) && (c.unansweredSince.IsZero() || now.Sub(c.unansweredSince) >= relayRetryDelay) {
+		c.unansweredSince = now
 	}
-	c.sent = now
+	c.lastSent = now
 	return c.clock.Next(now), c.echo
 }
 
-// takeFlags notes what a beat says besides the status.
-func (c *contact) takeFlags(b *gossippb.Beat) {
-	c.tick = b.Tick
-	c.tried = time.Time{}
+// applyFlags stores the fields of a beat that are not part of the sender's Status.
+func (c *contact) applyFlags(b *gossippb.Beat) {
+	c.lastTick = b.Tick
+	c.unansweredSince = time.Time{}
 	c.subscribes, c.reports, c.wholeFleet = b.Subscribes, b.Reports, b.WholeFleet
-	c.rosters = b.Rosters
-	c.holds = make(map[uint64]bool, len(b.Holds))
+	c.usedRosters = b.Rosters
+	c.knownRosters = make(map[uint64]bool, len(b.Holds))
 	for _, digest := range b.Holds {
-		c.holds[digest] = true
+		c.knownRosters[digest] = true
 	}
 }
--- a/internal/gossip/convert.go
+++ b/internal/gossip/convert.go
@@ -7,8 +7,10 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
+// maxSuspects is how many suspected replica groups one beat names at most.
 const maxSuspects = 20
 
+// toWire encodes a node's identity and status as a beat; times become ages as of now.
 func toWire(self Identity, s Status, now time.Time) *gossippb.Beat {
 	b := &gossippb.Beat{
 		Vm: self.VM, Incarnation: self.Incarnation, Zone: self.Zone, CallerAddress: self.CallerAddress,
@@ -19,10 +21,10 @@
 		Retiring: s.Retiring, Lost: s.Lost, Relay: s.Relay, Idle: s.Idle, Capacity: self.Capacity, UptimeMs: uint32(s.Uptime / time.Millisecond), //nolint:gosec // 49 days fit
 	}
 	if self.PeerAddress == self.GossipAddress {
-		b.PeerAddress = "" // said above; rosters are most of what a fleet sends while it starts
+		b.PeerAddress = "" // same as GossipAddress; saves bytes in rosters, most of the traffic while a fleet starts
 	}
 	if !s.ProofAt.IsZero() {
-		b.ProofAgeMs = max(1, roundUp(now.Sub(s.ProofAt)))
+		b.ProofAgeMs = max(1, ceilMillis(now.Sub(s.ProofAt)))
 	}
 	b.RateLimits, b.Cold = s.Limits.toWire(now), s.Cold.toWire(now)
 	b.Busy = uint32(s.Busy) //nolint:gosec // never negative
@@ -32,7 +34,7 @@
 	}
 	for group, at := range s.Suspects {
 		if len(b.Suspects) < maxSuspects {
-			b.Suspects = append(b.Suspects, &gossippb.Suspect{Group: group, AgeMs: roundUp(now.Sub(at))})
+			b.Suspects = append(b.Suspects, &gossippb.Suspect{Group: group, AgeMs: ceilMillis(now.Sub(at))})
 		}
 	}
 	for model, d := range s.Demands {
@@ -41,11 +43,12 @@
 	return b
 }
 
-// roundUp makes an age in whole milliseconds that is never too young.
-func roundUp(age time.Duration) uint32 {
+// ceilMillis rounds an age up to whole milliseconds, so that it is never understated.
+func ceilMillis(age time.Duration) uint32 {
 	return uint32((age + time.Millisecond - 1) / time.Millisecond) //nolint:gosec // ages are short
 }
 
+// fromWire decodes a beat that was created no earlier than asOf; ages become times counted back from asOf.
 func fromWire(b *gossippb.Beat, asOf time.Time) *Peer {
 	p := &Peer{
 		Identity: Identity{
@@ -55,7 +58,7 @@
 		Status: Status{
 			Leaving: b.Leaving, Serving: b.Serving, Watching: b.Watching, Eligible: b.Eligible, LeaderEpoch: b.LeaderEpoch, Sequence: b.Sequence,
 			Routing: b.RoutingSequence, Full: b.Full,
-			Lease: Lease{b.LeaseVersion, millis(b.LeaseTtlMs)}, Retiring: b.Retiring, Lost: b.Lost, Relay: b.Relay, Idle: b.Idle, Busy: int(b.Busy), Uptime: millis(b.UptimeMs), Loads: make(Loads, len(b.LoadEndpoints)),
+			Lease: Lease{b.LeaseVersion, fromMillis(b.LeaseTtlMs)}, Retiring: b.Retiring, Lost: b.Lost, Relay: b.Relay, Idle: b.Idle, Busy: int(b.Busy), Uptime: fromMillis(b.UptimeMs), Loads: make(Loads, len(b.LoadEndpoints)),
 			Suspects: make(map[string]time.Time, len(b.Suspects)), Demands: make(map[string]Demand, len(b.Demands)),
 		},
 		Heard: asOf,
@@ -64,14 +67,14 @@
 		p.PeerAddress = p.GossipAddress
 	}
 	if b.ProofAgeMs > 0 {
-		p.ProofAt = asOf.Add(-millis(b.ProofAgeMs))
+		p.ProofAt = asOf.Add(-fromMillis(b.ProofAgeMs))
 	}
 	for i, endpoint := range b.LoadEndpoints[:min(len(b.LoadEndpoints), len(b.LoadRequests))] {
 		p.Loads[EndpointKey(endpoint)] = int(b.LoadRequests[i])
 	}
 	p.Limits, p.Cold = rateLimitsFromWire(b.RateLimits, asOf), rateLimitsFromWire(b.Cold, asOf)
 	for _, s := range b.Suspects {
-		p.Suspects[s.Group] = asOf.Add(-millis(s.AgeMs))
+		p.Suspects[s.Group] = asOf.Add(-fromMillis(s.AgeMs))
 	}
 	for _, d := range b.Demands {
 		p.Demands[d.Model] = demandFromWire(d)
@@ -83,15 +86,15 @@
 	return &gossippb.Demand{
 		Model: model, Waiting: uint32(d.Waiting), Running: uint32(d.Running), //nolint:gosec // never negative
 		RequestsPerSecond: float32(d.Mix.PerSecond), TokensPerSecond: float32(d.Mix.Tokens), SquaresPerSecond: float32(d.Mix.Squares),
-		ObjectiveMs: roundUp(d.Mix.Objective),
+		ObjectiveMs: ceilMillis(d.Mix.Objective),
 	}
 }
 
 func demandFromWire(d *gossippb.Demand) Demand {
 	return Demand{Waiting: int(d.Waiting), Running: int(d.Running), Mix: engine.Mix{
 		PerSecond: float64(d.RequestsPerSecond), Tokens: float64(d.TokensPerSecond), Squares: float64(d.SquaresPerSecond),
-		Objective: millis(d.ObjectiveMs),
+		Objective: fromMillis(d.ObjectiveMs),
 	}}
 }
 
-func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
+func fromMillis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/gossip/demand.go
+++ b/internal/gossip/demand.go
@@ -2,10 +2,10 @@
 
 import "moorrun.dev/moorrun/internal/engine"
 
-// Demand is what a node lately got to do for a model.
+// Demand is a node's recent load of requests for a model.
 type Demand struct {
-	Waiting, Running int        // requests now
-	Mix              engine.Mix // of those that have come lately
+	Waiting, Running int        // current number of requests
+	Mix              engine.Mix // rate and size of the requests that have arrived recently
 }
 
 // Sum returns the demand for all models together.
@@ -17,7 +17,7 @@
 	return sum
 }
 
-// Plus returns the demand of both.
+// Plus returns the sum of both demands.
 func (d Demand) Plus(other Demand) Demand {
 	d.Waiting += other.Waiting
 	d.Running += other.Running
@@ -25,7 +25,7 @@
 	return d
 }
 
-// less returns the demand without that of a node that was counted in.
-func (d Demand) less(other Demand) Demand {
+// minus subtracts the demand of a node that is included in d.
+func (d Demand) minus(other Demand) Demand {
 	return Demand{Waiting: max(0, d.Waiting-other.Waiting), Running: max(0, d.Running-other.Running), Mix: d.Mix.Less(other.Mix)}
 }
--- a/internal/gossip/identity.go
+++ b/internal/gossip/identity.go
@@ -1,12 +1,12 @@
 package gossip
 
-// Identity names one node's process and its addresses.
+// Identity identifies a node's process and holds its addresses.
 type Identity struct {
 	VM            string
-	Incarnation   string // differs at every start
-	Zone          string
-	CallerAddress string
-	GossipAddress string // of its datagrams
-	PeerAddress   string // of its drpc calls
+	Incarnation   string // differs at every start of the process
+	Zone          string // name of its data centre
+	CallerAddress string // where it serves callers
+	GossipAddress string // where it receives datagrams
+	PeerAddress   string // where it receives drpc calls
 	Capacity      uint32 // of its VM, in thousandths of a core
 }
--- a/internal/gossip/lease.go
+++ b/internal/gossip/lease.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Lease is what a leader tells of its lease.
+// Lease is what a leader's beats tell of its lease.
 type Lease struct {
-	Version int64 // in the store
-	Term    time.Duration
+	Version int64         // of the lease object in the store
+	Term    time.Duration // how long the lease is valid after a renewal
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -1,10 +1,15 @@
-// Package gossip lets the nodes of a fleet find and hear each other: some times a second each tells its loads, what
-// it doubts, and how current its copy of the platform's store is.
+// Package gossip implements discovery and status exchange among the nodes of a fleet. Several times a second each node
+// sends a beat, a heartbeat datagram with its loads, the replica groups that it suspects of having failed, and how
+// current its copy of the platform's store is.
 //
-// In a small fleet each node sends every other a datagram. In a larger one some nodes are relays: every other node
-// reports to one of them, which answers with what the whole fleet has, and subscribes to a second one. The relays
-// tell each other the sum of what they and those that report to them have. So what a node sends and takes in grows
-// with the root of the fleet's size.
+// In a small fleet each node sends beats to every other node. In a larger one some nodes are relays. Every other node
+// reports its status to one relay, which replies with the totals of the whole fleet, and subscribes to the replies of a
+// second one. Relays send each other the totals of themselves and of the nodes that report to them. So the traffic of a
+// node grows with the square root of the fleet's size.
+//
+// A node is heard when a beat from it arrives; a node that was heard within the liveness timeout is live. A roster lists
+// a relay and the nodes that report to it, or a selection of the fleet's nodes. Relays distribute rosters, identified by
+// their digests, so that nodes also know others from which they receive no beats.
 package gossip
 
 import (
@@ -21,100 +26,104 @@
 )
 
 const (
-	// Every is the interval between two beats to a live node.
-	Every = 100 * time.Millisecond
-	// LiveFor is how long a node counts as live after it was last heard.
-	LiveFor = 800 * time.Millisecond
-	// idleEvery and idleStandbyEvery are the intervals of a node without requests to its two relays. What it has to know,
-	// who is in the fleet and how current its configuration is, bears such an age; it sends and takes in a fifth.
-	idleEvery        = 500 * time.Millisecond
-	idleStandbyEvery = time.Second
-	// idleLiveFor is how long an idle node and its relays count as live to each other after they were last heard.
-	idleLiveFor = 2 * time.Second
-	// slowEvery is the interval between two beats to a node that does not answer.
-	slowEvery = 700 * time.Millisecond
-	// standbyEvery is the interval between two beats to the second relay.
-	standbyEvery = 300 * time.Millisecond
-	// retryRelay is how long a relay that did not answer is left out.
-	retryRelay = 4 * time.Second
-	// forgetAfter is how long a node that does not answer is kept.
-	forgetAfter = 40 * time.Second
-	// rosterFor is how long a roster is kept that no relay goes by any more.
-	rosterFor = 2 * time.Second
-	// viewFor is how old what is worked out of the beats may get before it is worked out again.
-	viewFor = 20 * time.Millisecond
-	// kickPause is the least time between two urgent rounds of beats. While a fleet starts everything is news to
-	// everyone: with 10 ms 68 nodes sent each other 440 MB in their first six seconds.
-	kickPause = 50 * time.Millisecond
-	// rosterEvery is how often a relay of a large fleet lists anew who reports to it, unless one of them leaves: while a
-	// fleet starts the list changes all the time, and each of its versions goes to every node.
-	rosterEvery = time.Second
-	// straysARound is how many nodes beside its relays a node tells in one round at most.
-	straysARound = 6
-	// maxDatagram is the size in bytes of the largest beat taken in.
+	// HeartbeatInterval is the interval between two beats to a live node.
+	HeartbeatInterval = 100 * time.Millisecond
+	// LivenessTimeout is how long a node counts as live after it was last heard.
+	LivenessTimeout = 800 * time.Millisecond
+	// idleInterval and idleStandbyInterval are the intervals at which a node without requests sends beats to its first and
+	// second relay. It needs to know only the fleet's members and the age of its configuration, which may be that old, and
+	// its traffic falls to a fifth.
+	idleInterval        = 500 * time.Millisecond
+	idleStandbyInterval = time.Second
+	// idleLivenessTimeout is how long an idle node and its relays count as live to each other after they were last heard.
+	idleLivenessTimeout = 2 * time.Second
+	// unresponsiveInterval is the interval between two beats to a node that does not answer.
+	unresponsiveInterval = 700 * time.Millisecond
+	// standbyInterval is the interval between two beats to the second relay.
+	standbyInterval = 300 * time.Millisecond
+	// relayRetryDelay is how long after its first unanswered beat an unresponsive relay is tried again.
+	relayRetryDelay = 4 * time.Second
+	// contactExpiry is how long a node that does not answer is remembered.
+	contactExpiry = 40 * time.Second
+	// rosterExpiry is how long a roster is kept after the last live node stopped using it.
+	rosterExpiry = 2 * time.Second
+	// derivedStateTTL is the maximum age of the cached list of live nodes and of the cached totals.
+	derivedStateTTL = 20 * time.Millisecond
+	// minUrgentInterval is the minimum time between two urgent rounds of beats. While a fleet starts, every beat brings
+	// changes: with 10 ms, 68 nodes sent each other 440 MB in their first six seconds.
+	minUrgentInterval = 50 * time.Millisecond
+	// rosterInterval is how often a relay of a large fleet rebuilds its roster; an urgent change of a reporting node, such
+	// as its leaving, causes a rebuild at once. While a fleet starts the roster changes constantly, and each version is
+	// sent to every node.
+	rosterInterval = time.Second
+	// maxStraysPerRound is how many nodes a node sends beats to in one round, besides its relays.
+	maxStraysPerRound = 6
+	// maxDatagram is the size in bytes of the largest beat that is accepted.
 	maxDatagram = 60 << 10
-	// knownPart is how many other nodes are told of in one beat: the first relays and one of the others by chance, ten
-	// times a second, so that the views of a fleet that starts agree within some three seconds.
-	knownPart = 3
+	// maxKnownPerBeat is how many other nodes a beat lists: the first relays and one random node, ten times a second. The
+	// nodes of a starting fleet then agree on its members within about three seconds.
+	maxKnownPerBeat = 3
 )
 
-// Conn sends and takes in datagrams; a *net.UDPConn is one.
+// Conn sends and receives datagrams. *net.UDPConn implements it.
 type Conn interface {
 	ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
 	SetReadDeadline(t time.Time) error
 }
 
-// Node is this process's part in the gossip.
+// Node exchanges beats with the other nodes on behalf of this process.
 type Node struct {
 	self   Identity
 	conn   Conn
 	status func(now time.Time) Status
-	// OnBeat is called with each beat taken in; it must not block.
+	// OnBeat is called with the sender of each accepted beat; it must not block.
 	OnBeat func(p *Peer)
-	// Quarantine is what the nodes tell each other of requests that end endpoints; nil if they do not.
+	// Quarantine is the table of requests suspected of ending the endpoints that run them. The nodes synchronize it; nil
+	// disables this.
 	Quarantine *quarantine.Table
-	// CapacityOfRequest is how much of the nodes that callers use one running request needs, in thousandths of a core.
+	// CapacityOfRequest is the capacity that one running request needs of the nodes that serve callers, in thousandths of a
+	// core.
 	CapacityOfRequest float64
-	// OnSent is called with each beat sent and its size in bytes; it must not block.
+	// OnSent is called with the kind and the size in bytes of each beat sent; it must not block.
 	OnSent func(kind BeatKind, size int)
 
-	mu         sync.Mutex
-	peers      map[string]*contact // by gossip address
-	rosters    map[uint64]*roster  // by digest
-	relays     []*Peer             // the other nodes that should be relays
-	own        *roster             // while this node is a relay
-	ownAt      time.Time
-	ownStale   bool        // a node of it has said something that is passed on at once
-	view       partialView // while this node is a relay
-	toldNodes  int         // in the fleet, as a relay has said
-	toldAt     time.Time
-	seen       map[string]time.Time
-	zoneSeen   map[string]time.Time // a live node of that data centre was last known
-	relaying   bool
-	subscribed []string // addresses of the relays that this node reports and subscribes to
-	last       Status   // what this node said last
-
-	liveAt   time.Time
-	liveList []*Peer
-	changed  bool // something was heard since liveList was made
-	others   *Totals
-	othersAt time.Time
-	kick     chan struct{}
+	mu                  sync.Mutex
+	contacts            map[string]*contact // by gossip address
+	rosters             map[uint64]*roster  // by digest
+	relays              []*Peer             // the other nodes that should be relays
+	ownRoster           *roster             // while this node is a relay
+	ownRosterAt         time.Time
+	ownRosterStale      bool        // a reporting node has sent an urgent change
+	view                partialView // while this node is a relay
+	reportedFleetSize   int         // number of nodes in the fleet, from the last beat for the whole fleet
+	fleetSizeReportedAt time.Time
+	lastSeen            map[string]time.Time // when the node was last live, by VM
+	dataCentreLastSeen  map[string]time.Time // when a node of the data centre was last live
+	relaying            bool
+	subscribedRelays    []string // addresses of the relays that this node reports and subscribes to
+	lastStatus          Status   // this node's status as of its last round of beats
+
+	liveAt        time.Time
+	liveList      []*Peer
+	liveListStale bool // a beat since liveList was made may change it
+	others        *Totals
+	othersAt      time.Time
+	kick          chan struct{} // requests an urgent round of beats
 }
 
-// NewNode returns a Node that sends and hears on conn; status tells what to say.
+// NewNode returns a Node that sends and receives on conn; status returns the status to send.
 func NewNode(self Identity, conn Conn, status func(now time.Time) Status) *Node {
 	return &Node{
-		self: self, conn: conn, status: status, peers: make(map[string]*contact), rosters: make(map[uint64]*roster),
-		seen: make(map[string]time.Time), zoneSeen: make(map[string]time.Time), kick: make(chan struct{}, 1),
+		self: self, conn: conn, status: status, contacts: make(map[string]*contact), rosters: make(map[uint64]*roster),
+		lastSeen: make(map[string]time.Time), dataCentreLastSeen: make(map[string]time.Time), kick: make(chan struct{}, 1),
 	}
 }
 
 // Self returns this process's identity.
 func (n *Node) Self() Identity { return n.self }
 
-// Add makes an address known as one of another node.
+// Add registers gossip addresses of other nodes as contacts.
 func (n *Node) Add(addresses ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,33 +132,35 @@
 	}
 }
 
-// Introduce makes a registered node known. Until it is heard it counts only where relays are chosen, so that the nodes
-// of a fleet that starts agree on these before they have all met.
+// Introduce adds a node that has registered in the store. Until it is heard it is considered only when relays are
+// selected, so that the nodes of a starting fleet agree on the relays before they have all heard each other.
 func (n *Node) Introduce(id Identity) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.add(id.GossipAddress, clock.Now()); c != nil {
-		c.told = &Peer{Identity: id}
+		c.registered = &Peer{Identity: id}
 	}
 }
 
+// add returns the contact for an address and creates it if needed. It returns nil for this node's own address and for one
+// that cannot be parsed.
 func (n *Node) add(address string, now time.Time) *contact {
 	if address == n.self.GossipAddress {
 		return nil
 	}
-	if c, ok := n.peers[address]; ok {
+	if c, ok := n.contacts[address]; ok {
 		return c
 	}
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil
 	}
-	c := &contact{address: parsed, added: now}
-	n.peers[address] = c
+	c := &contact{address: parsed, addedAt: now}
+	n.contacts[address] = c
 	return c
 }
 
-// Kick sends a beat to everyone at once.
+// Kick requests an urgent round of beats, ahead of the regular interval.
 func (n *Node) Kick() {
 	select {
 	case n.kick <- struct{}{}:
@@ -157,7 +168,7 @@
 	}
 }
 
-// Run sends and takes in beats until ctx ends.
+// Run sends and receives beats until ctx ends, then sends a final urgent round.
 func (n *Node) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = n.conn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -165,53 +176,54 @@
 	go func() { defer close(done); n.receive(ctx) }()
 	for due := clock.Now(); ctx.Err() == nil; {
 		if loop.SleepOr(ctx, clock.Until(due), n.kick) {
-			n.send(clock.Now(), true)
-			time.Sleep(kickPause)
+			n.sendRound(clock.Now(), true)
+			time.Sleep(minUrgentInterval)
 			continue
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		n.send(clock.Now(), false)
-		every := n.roundEvery()
+		n.sendRound(clock.Now(), false)
+		every := n.roundInterval()
 		due = clock.Now().Add(every + time.Duration(rand.Int64N(int64(every/10)))) //nolint:gosec // jitter
 	}
-	n.send(clock.Now(), true)
+	n.sendRound(clock.Now(), true)
 	<-done
 	return nil
 }
 
-// roundEvery is the interval between two rounds of beats: longer for an idle node whose relay answers.
-func (n *Node) roundEvery() time.Duration {
+// roundInterval returns the interval between two rounds of beats, which is longer for an idle node whose relay answers.
+func (n *Node) roundInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.last.Idle && n.upstream(clock.Now()) != nil {
-		return idleEvery
+	if n.lastStatus.Idle && n.upstream(clock.Now()) != nil {
+		return idleInterval
 	}
-	return Every
+	return HeartbeatInterval
 }
 
-// known returns some of the nodes that are heard. Of a large fleet these are relays, so that all nodes soon agree on who
-// relays, and any other node: one that hears no more than a small fleet has takes itself for a relay, as do all nodes of a
-// small fleet. It reports to nobody then, and if it were told of relays only it would never get to know the rest.
-func (n *Node) known(now time.Time) []*gossippb.KnownNode {
+// sampleKnownNodes returns up to maxKnownPerBeat live nodes to list in a beat. In a large fleet these are relays, so that
+// all nodes soon agree on the relays, and one random live node. The random one is needed because a node that knows no more
+// than SmallFleet nodes considers itself a relay and reports to nobody: if only relays were listed to it, it would never
+// learn of the other nodes.
+func (n *Node) sampleKnownNodes(now time.Time) []*gossippb.KnownNode {
 	var out []*gossippb.KnownNode
-	tell := func(p *Peer) { out = append(out, &gossippb.KnownNode{Vm: p.VM, GossipAddress: p.GossipAddress}) }
-	if len(n.relays) >= knownPart {
-		for _, p := range n.relays[:knownPart-1] {
-			tell(p)
+	add := func(p *Peer) { out = append(out, &gossippb.KnownNode{Vm: p.VM, GossipAddress: p.GossipAddress}) }
+	if len(n.relays) >= maxKnownPerBeat {
+		for _, p := range n.relays[:maxKnownPerBeat-1] {
+			add(p)
 		}
 		if live := n.live(now); len(live) > 0 {
-			tell(live[rand.IntN(len(live))]) //nolint:gosec // any will do
+			add(live[rand.IntN(len(live))]) //nolint:gosec // need not be secure
 		}
 		return out
 	}
-	for _, c := range n.peers { // in random order
-		if len(out) == knownPart {
+	for _, c := range n.contacts { // in random order
+		if len(out) == maxKnownPerBeat {
 			return out
 		}
-		if c.fresh(now) {
-			tell(c.peer)
+		if c.alive(now) {
+			add(c.peer)
 		}
 	}
 	return out
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -50,35 +50,35 @@
 	wg.Wait()
 }
 
-// hear gives n a beat of another node and returns what n makes of it.
-func hear(n *Node, b *gossippb.Beat) *Peer { return n.take(b, time.Now()) }
+// deliver passes a beat to n and returns the peer that n derives from it, or nil if n rejects the beat.
+func deliver(n *Node, b *gossippb.Beat) *Peer { return n.handleBeat(b, time.Now()) }
 
 func TestBeatCountsFromTheSendingThatItEchoes(t *testing.T) {
 	n := newTestNode(t, 0, func(time.Time) Status { return Status{} })
 	beat := &gossippb.Beat{Vm: "b", Incarnation: "1", GossipAddress: "127.0.0.1:9", Tick: 1}
-	qt.Check(t, hear(n, beat), qt.IsNil, qt.Commentf("it echoes nothing, so its age is not known"))
+	qt.Check(t, deliver(n, beat), qt.IsNil, qt.Commentf("a beat without an echo, whose age is unknown"))
 	sent := time.Now()
-	n.send(sent, true)
+	n.sendRound(sent, true)
 	beat.Tick, beat.Echo, beat.ProofAgeMs = 2, 1, 30
-	p := hear(n, beat)
+	p := deliver(n, beat)
 	qt.Assert(t, p, qt.IsNotNil)
 	qt.Check(t, p.Heard.Equal(sent), qt.IsTrue)
 	qt.Check(t, p.ProofAt.Equal(sent.Add(-30*time.Millisecond)), qt.IsTrue)
-	qt.Check(t, hear(n, beat), qt.IsNil, qt.Commentf("the same beat again"))
+	qt.Check(t, deliver(n, beat), qt.IsNil, qt.Commentf("a duplicate of the last beat"))
 	beat.Tick = 1
-	qt.Check(t, hear(n, beat), qt.IsNil, qt.Commentf("an older one that was overtaken"))
+	qt.Check(t, deliver(n, beat), qt.IsNil, qt.Commentf("an older beat that arrives after a newer one"))
 }
 
 func TestLateBeatOfAnEarlierLifeIsIgnored(t *testing.T) {
 	n := newTestNode(t, 0, func(time.Time) Status { return Status{} })
 	n.Add("127.0.0.1:9")
-	n.send(time.Now(), true)
+	n.sendRound(time.Now(), true)
 	time.Sleep(2 * time.Millisecond)
-	n.send(time.Now(), true)
+	n.sendRound(time.Now(), true)
 	second := &gossippb.Beat{Vm: "b", Incarnation: "2", GossipAddress: "127.0.0.1:9", Tick: 1, Echo: 2}
-	qt.Assert(t, hear(n, second), qt.IsNotNil)
+	qt.Assert(t, deliver(n, second), qt.IsNotNil)
 	first := &gossippb.Beat{Vm: "b", Incarnation: "1", GossipAddress: "127.0.0.1:9", Tick: 50, Echo: 1}
-	qt.Check(t, hear(n, first), qt.IsNil)
+	qt.Check(t, deliver(n, first), qt.IsNil)
 	qt.Check(t, n.Live(time.Now())[0].Incarnation, qt.Equals, "2")
 }
 
@@ -132,8 +132,8 @@
 	f.Fuzz(func(_ *testing.T, vm, incarnation, address string, tick, echo uint64) {
 		n := NewNode(Identity{VM: "self", GossipAddress: "127.0.0.1:1"}, conn, func(time.Time) Status { return Status{} })
 		for range 2 {
-			n.take(&gossippb.Beat{Vm: vm, Incarnation: incarnation, GossipAddress: address, Tick: tick, Echo: echo}, time.Now())
-			n.known(time.Now())
+			n.handleBeat(&gossippb.Beat{Vm: vm, Incarnation: incarnation, GossipAddress: address, Tick: tick, Echo: echo}, time.Now())
+			n.sampleKnownNodes(time.Now())
 		}
 	})
 }
--- a/internal/gossip/packing.go
+++ b/internal/gossip/packing.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// packFrom is the size in bytes from which objects are compressed on their way to other nodes.
-	packFrom = 4 << 10
-	// maxUnpacked bounds what a compressed reply may hold, in bytes.
-	maxUnpacked = 64 << 20
-	// packWindow bounds the memory that compressing takes, in bytes.
-	packWindow = 512 << 10
+	// minCompressedSize is the size in bytes from which a reply to a Pull is compressed.
+	minCompressedSize = 4 << 10
+	// maxDecompressedSize bounds the memory in bytes that decompressing a reply may take.
+	maxDecompressedSize = 64 << 20
+	// compressionWindow is the zstd window size in bytes; it bounds the memory that compressing takes.
+	compressionWindow = 512 << 10
 )
 
-// packer compresses replies. Those who follow a node mostly lack the same objects, so the last reply is kept.
-type packer struct {
+// compressor compresses replies to Pull calls. It caches the last one, because the nodes that pull from one node mostly
+// lack the same objects.
+type compressor struct {
 	mu      sync.Mutex
 	encoder *zstd.Encoder
 	since   uint64
@@ -27,50 +28,50 @@
 	reply   *gossippb.PullReply
 }
 
-// pack returns the reply to a request, with its objects compressed if they are large.
-func (p *packer) pack(request *gossippb.PullRequest, reply *gossippb.PullReply) (*gossippb.PullReply, error) {
-	if proto.Size(reply) < packFrom {
+// compress returns the reply with its objects compressed if it has at least minCompressedSize bytes, else unchanged.
+func (c *compressor) compress(request *gossippb.PullRequest, reply *gossippb.PullReply) (*gossippb.PullReply, error) {
+	if proto.Size(reply) < minCompressedSize {
 		return reply, nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.reply != nil && p.since == request.Since && p.routing == request.Routing && p.reply.Sequence == reply.Sequence {
-		return p.reply, nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.reply != nil && c.since == request.Since && c.routing == request.Routing && c.reply.Sequence == reply.Sequence {
+		return c.reply, nil
 	}
-	if p.encoder == nil {
+	if c.encoder == nil {
 		encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
-			zstd.WithWindowSize(packWindow), zstd.WithLowerEncoderMem(true))
+			zstd.WithWindowSize(compressionWindow), zstd.WithLowerEncoderMem(true))
 		if err != nil {
 			return nil, err
 		}
-		p.encoder = encoder
+		c.encoder = encoder
 	}
 	content, err := proto.Marshal(&gossippb.PullReply{Objects: reply.Objects})
 	if err != nil {
 		return nil, err
 	}
-	p.since, p.routing = request.Since, request.Routing
-	p.reply = &gossippb.PullReply{Incarnation: reply.Incarnation, Sequence: reply.Sequence, Packed: p.encoder.EncodeAll(content, nil)}
-	return p.reply, nil
+	c.since, c.routing = request.Since, request.Routing
+	c.reply = &gossippb.PullReply{Incarnation: reply.Incarnation, Sequence: reply.Sequence, Packed: c.encoder.EncodeAll(content, nil)}
+	return c.reply, nil
 }
 
-// unpacker takes compressed replies apart, with one decoder, which keeps its buffers.
-type unpacker struct {
+// decompressor decompresses replies to Pull calls with one decoder, which reuses its buffers.
+type decompressor struct {
 	decoder func() (*zstd.Decoder, error)
 }
 
-func newUnpacker() unpacker {
-	return unpacker{sync.OnceValues(func() (*zstd.Decoder, error) {
-		return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpacked))
+func newDecompressor() decompressor {
+	return decompressor{sync.OnceValues(func() (*zstd.Decoder, error) {
+		return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDecompressedSize))
 	})}
 }
 
-// unpack returns the objects of a reply.
-func (u unpacker) unpack(reply *gossippb.PullReply) ([]*gossippb.Object, error) {
+// decompress returns the objects of a reply, whether it is compressed or not.
+func (d decompressor) decompress(reply *gossippb.PullReply) ([]*gossippb.Object, error) {
 	if len(reply.Packed) == 0 {
 		return reply.Objects, nil
 	}
-	decoder, err := u.decoder()
+	decoder, err := d.decoder()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gossip/partial_view.go
+++ b/internal/gossip/partial_view.go
@@ -6,65 +6,65 @@
 )
 
 const (
-	// viewLeast is how many nodes of each data centre a partial view holds at least. Callers are sent to the eight largest of
-	// one, and when those are lost to the next; relays are drawn from the largest ones, too.
-	viewLeast = 16
-	// viewEvery is how often a relay draws up its partial view anew, unless a node of it leaves or begins or ends to serve or
-	// to lead: while a fleet starts it changes all the time.
-	viewEvery = time.Second
-	// viewMargin is how many times the capacity that the running requests need is in a view: they may double before it is
-	// drawn up anew.
-	viewMargin = 2
+	// minViewNodes is the minimum number of serving nodes of each data centre in a partial view. Callers are sent to the
+	// eight largest of a data centre, and to the next largest when those are lost; relays are selected from the largest, too.
+	minViewNodes = 16
+	// viewRefreshInterval is how often a relay rebuilds its partial view. It does so earlier if a node of the view leaves, or
+	// starts or stops serving or leading. While a fleet starts the view changes constantly.
+	viewRefreshInterval = time.Second
+	// viewCapacityFactor is the ratio of the capacity of a view's nodes to the capacity that the running requests need, so
+	// that the number of requests may double before the view is rebuilt.
+	viewCapacityFactor = 2
 )
 
-// partialView is what a relay tells those that report to it of the other nodes: those that they may have to know. All nodes
-// told to each of 300 that start were nine tenths of what these sent, 250 KB for each, and grew with the fleet's size.
+// partialView is the subset of the fleet's nodes that a relay sends to the nodes reporting to it. Sending all nodes to each
+// node of a starting fleet of 300 took nine tenths of the traffic, 250 KB for each, and grew with the fleet's size.
 type partialView struct {
-	roster *roster
-	at     time.Time
-	stale  bool
-	told   map[string]Status // of its nodes, by VM
+	roster   *roster
+	at       time.Time         // when the view was built
+	stale    bool              // an urgent change requires a rebuild
+	statuses map[string]Status // of its nodes when it was built, by VM
 }
 
-// refreshView draws up the partial view anew, if that is due.
+// refreshView returns the partial view's roster and rebuilds it first if that is due.
 func (n *Node) refreshView(now time.Time) *roster {
-	if n.view.roster != nil && !n.view.stale && now.Sub(n.view.at) < viewEvery {
+	if n.view.roster != nil && !n.view.stale && now.Sub(n.view.at) < viewRefreshInterval {
 		return n.view.roster
 	}
-	status := n.last
+	status := n.lastStatus
 	status.Loads = nil
 	nodes := append([]*Peer{{Identity: n.self, Status: status, Heard: now}}, n.live(now)...)
-	running := Sum(n.othersNow(now).Demands).Running + Sum(n.last.Demands).Running
-	members := viewOf(nodes, n.relays, viewMargin*n.CapacityOfRequest*float64(running))
-	n.view = partialView{roster: newRoster(members), at: now, told: make(map[string]Status, len(members))}
+	running := Sum(n.othersNow(now).Demands).Running + Sum(n.lastStatus.Demands).Running
+	members := selectView(nodes, n.relays, viewCapacityFactor*n.CapacityOfRequest*float64(running))
+	n.view = partialView{roster: newRoster(members), at: now, statuses: make(map[string]Status, len(members))}
 	for _, p := range members {
-		n.view.told[p.VM] = p.Status
+		n.view.statuses[p.VM] = p.Status
 	}
 	return n.view.roster
 }
 
-// viewOf returns the nodes of a partial view: the relays, who leads, and of each data centre the largest that serve, so many
-// that all of these have that capacity, in thousandths of a core.
-func viewOf(nodes, relays []*Peer, capacity float64) []*Peer {
+// selectView returns the nodes of a partial view: the relays, the leader, and of each data centre the largest nodes, until
+// at least minViewNodes of them serve and these have an equal share of capacity, which is in thousandths of a core.
+func selectView(nodes, relays []*Peer, capacity float64) []*Peer {
 	kept := make(map[string]bool, len(relays))
 	for _, p := range relays {
 		kept[p.VM] = true
 	}
 	sorted := slices.Clone(nodes)
 	slices.SortFunc(sorted, CompareSize)
-	type share struct {
+	type viewShare struct {
 		nodes    int
 		capacity float64
 	}
-	shares := make(map[string]*share)
+	shares := make(map[string]*viewShare)
 	for _, p := range sorted {
-		shares[p.Zone] = &share{}
+		shares[p.Zone] = &viewShare{}
 	}
 	capacity /= float64(len(shares))
 	var out []*Peer
 	for _, p := range sorted {
 		s := shares[p.Zone]
-		enough := s.nodes >= viewLeast && s.capacity >= capacity
+		enough := s.nodes >= minViewNodes && s.capacity >= capacity
 		if enough && !kept[p.VM] && p.LeaderEpoch == 0 {
 			continue
 		}
@@ -77,8 +77,9 @@
 	return out
 }
 
-// outdates reports whether the partial view told something else of a node that those who have it are to know at once.
-func (v *partialView) outdates(p *Peer) bool {
-	told, known := v.told[p.VM]
+// isOutdatedBy reports whether p differs from the partial view in a way that receivers of the view must learn at once:
+// a node of the view leaves, starts or stops serving or has another leader epoch, or a node outside the view leads.
+func (v *partialView) isOutdatedBy(p *Peer) bool {
+	told, known := v.statuses[p.VM]
 	return known && (told.Leaving != p.Leaving || told.Serving != p.Serving || told.LeaderEpoch != p.LeaderEpoch) || !known && p.LeaderEpoch > 0
 }
--- a/internal/gossip/quarantine.go
+++ b/internal/gossip/quarantine.go
@@ -8,53 +8,55 @@
 )
 
 const (
-	// recordsABeat is how many suspected requests are told in one beat at the most, some 3 KB.
-	recordsABeat = 100
-	// differsFor is how long another node may suspect other requests than this one before it is told of all that this one
-	// does. Relays tell each other only what was found by them and by those that report to them, within some tenths of a
-	// second; the rest is needed if two of them do not hear each other.
-	differsFor = time.Second
-	// repairPause is the least time between two tellings of all to the same node, each of which may be lost.
-	repairPause = 500 * time.Millisecond
+	// maxRecordsPerBeat is the maximum number of records of suspected requests in one beat, about 3 KB.
+	maxRecordsPerBeat = 100
+	// resyncDelay is how long another node's table may differ from this node's before all suspected requests are sent to
+	// it. Relays normally send each other only what they and the nodes reporting to them have found, which takes some tenths
+	// of a second; the full resync is needed if two relays do not hear each other.
+	resyncDelay = time.Second
+	// minResyncInterval is the minimum time between two full resyncs to the same node. Each of them may be lost.
+	minResyncInterval = 500 * time.Millisecond
 )
 
-// exchangeState is how far this node and another one know each other's tables of suspected requests.
-type exchangeState struct {
-	taken    uint64    // sequence of the other's table up to which it has been taken in
-	told     uint64    // sequence of this node's up to which the other has
-	differs  time.Time // since when the tables have differed; zero if they do not
-	repaired time.Time // the other was last told of all
+// tableSync is how far this node and one contact have synchronized their tables of suspected requests.
+type tableSync struct {
+	received     uint64    // sequence number up to which the contact's table has been received
+	acknowledged uint64    // sequence number up to which the contact has received this node's table
+	differsSince time.Time // since when the tables have differed; zero if they are equal
+	lastResync   time.Time // when all suspected requests were last sent to the contact
 }
 
-// addQuarantine adds to a beat what its receiver has not yet taken in of the suspected requests. It is told again in each
-// beat until the receiver says that it has.
+// addQuarantine adds to a beat the records of suspected requests that its receiver lacks. They are sent again with each
+// beat until the receiver acknowledges them.
 func (n *Node) addQuarantine(c *contact, b *gossippb.Beat, now time.Time) {
 	if n.Quarantine == nil {
 		return
 	}
-	s := &c.exchange
-	records, reached := n.Quarantine.Since(s.told, c.needs, recordsABeat)
-	if s.repairs(now) {
-		records = append(records, n.Quarantine.Suspected(recordsABeat)...)
+	s := &c.quarantine
+	records, reached := n.Quarantine.Since(s.acknowledged, c.needsChangeFrom, maxRecordsPerBeat)
+	if s.startResync(now) {
+		records = append(records, n.Quarantine.Suspected(maxRecordsPerBeat)...)
 	}
 	for _, r := range records {
 		b.Quarantine = append(b.Quarantine, recordToWire(r, now))
 	}
-	b.QuarantineTo, b.QuarantineSeen, b.QuarantineDigest = reached, s.taken, n.Quarantine.Digest()
+	b.QuarantineTo, b.QuarantineSeen, b.QuarantineDigest = reached, s.received, n.Quarantine.Digest()
 }
 
-// repairs reports whether the other node is to be told of all requests that are suspected here.
-func (s *exchangeState) repairs(now time.Time) bool {
-	if s.differs.IsZero() || now.Sub(s.differs) < differsFor || now.Sub(s.repaired) < repairPause {
+// startResync reports whether all suspected requests are to be sent to the contact now, and if so records now as the time
+// of the resync.
+func (s *tableSync) startResync(now time.Time) bool {
+	if s.differsSince.IsZero() || now.Sub(s.differsSince) < resyncDelay || now.Sub(s.lastResync) < minResyncInterval {
 		return false
 	}
-	s.repaired = now
+	s.lastResync = now
 	return true
 }
 
-// needs reports whether the other node has to be told of a change that this one has heard of from there. What this one has
-// found goes to all. Relays hear from each other, and a node from the relay that it reports to.
-func (c *contact) needs(from quarantine.Source) bool {
+// needsChangeFrom reports whether a change that this node has learnt from the given source has to be sent to the contact.
+// This node's own findings go to all contacts. Otherwise relays receive changes from each other, and another node receives
+// them from the relay that it reports to.
+func (c *contact) needsChangeFrom(from quarantine.Source) bool {
 	switch {
 	case from.VM == "":
 		return true
@@ -69,50 +71,51 @@
 	}
 }
 
-// takeQuarantine takes in what a beat tells of suspected requests, and reports whether one is held back now that was not.
-// same says that the sender is the process that sent the beat before.
-func (n *Node) takeQuarantine(c *contact, b *gossippb.Beat, same bool, asOf, now time.Time) bool {
+// mergeQuarantine merges a beat's records of suspected requests into this node's table and reports whether a request is
+// held back as a result that was not before. sameProcess says that the contact's previous beat came from the same
+// incarnation.
+func (n *Node) mergeQuarantine(c *contact, b *gossippb.Beat, sameProcess bool, asOf, now time.Time) bool {
 	if n.Quarantine == nil {
 		return false
 	}
-	s := &c.exchange
-	if !same {
-		*s = exchangeState{}
+	s := &c.quarantine
+	if !sameProcess {
+		*s = tableSync{}
 	}
-	s.told = b.QuarantineSeen
-	s.taken = max(s.taken, b.QuarantineTo)
-	held := false
+	s.acknowledged = b.QuarantineSeen
+	s.received = max(s.received, b.QuarantineTo)
+	newlyHeld := false
 	if len(b.Quarantine) > 0 {
 		records := make([]quarantine.Record, 0, len(b.Quarantine))
 		for _, w := range b.Quarantine {
 			records = append(records, recordFromWire(w, asOf))
 		}
-		held = n.Quarantine.Merge(records, quarantine.Source{VM: b.Vm, Relay: b.Relay}, asOf)
+		newlyHeld = n.Quarantine.Merge(records, quarantine.Source{VM: b.Vm, Relay: b.Relay}, asOf)
 	}
-	switch same := b.QuarantineDigest == n.Quarantine.Digest(); {
-	case same:
-		s.differs = time.Time{}
-	case s.differs.IsZero():
-		s.differs = now
+	switch equal := b.QuarantineDigest == n.Quarantine.Digest(); {
+	case equal:
+		s.differsSince = time.Time{}
+	case s.differsSince.IsZero():
+		s.differsSince = now
 	}
-	return held
+	return newlyHeld
 }
 
 func recordToWire(r quarantine.Record, now time.Time) *gossippb.QuarantineRecord {
-	s := &gossippb.QuarantineRecord{Fingerprint: uint64(r.Fingerprint), Answered: r.Answered, HoldMs: wholeMillis(r.Hold), AgeMs: wholeMillis(r.Age)}
+	s := &gossippb.QuarantineRecord{Fingerprint: uint64(r.Fingerprint), Answered: r.Answered, HoldMs: floorMillis(r.Hold), AgeMs: floorMillis(r.Age)}
 	for _, e := range r.Endings {
-		s.Endings = append(s.Endings, &gossippb.Ending{Life: e.Life, Domain: e.Domain, AgeMs: wholeMillis(max(0, now.Sub(e.At)))})
+		s.Endings = append(s.Endings, &gossippb.Ending{Life: e.Life, Domain: e.Domain, AgeMs: floorMillis(max(0, now.Sub(e.At)))})
 	}
 	return s
 }
 
 func recordFromWire(s *gossippb.QuarantineRecord, asOf time.Time) quarantine.Record {
-	r := quarantine.Record{Fingerprint: quarantine.Fingerprint(s.Fingerprint), Answered: s.Answered, Hold: millis(s.HoldMs), Age: millis(s.AgeMs)}
+	r := quarantine.Record{Fingerprint: quarantine.Fingerprint(s.Fingerprint), Answered: s.Answered, Hold: fromMillis(s.HoldMs), Age: fromMillis(s.AgeMs)}
 	for _, e := range s.Endings {
-		r.Endings = append(r.Endings, quarantine.Ending{Life: e.Life, Domain: e.Domain, At: asOf.Add(-millis(e.AgeMs))})
+		r.Endings = append(r.Endings, quarantine.Ending{Life: e.Life, Domain: e.Domain, At: asOf.Add(-fromMillis(e.AgeMs))})
 	}
 	return r
 }
 
-// wholeMillis leaves out what is less than a millisecond, so that a hold that is told to and fro never grows.
-func wholeMillis(d time.Duration) uint32 { return uint32(d / time.Millisecond) } //nolint:gosec // a day at the most
+// floorMillis rounds down to whole milliseconds, so that a hold does not grow by being sent back and forth.
+func floorMillis(d time.Duration) uint32 { return uint32(d / time.Millisecond) } //nolint:gosec // at most a day
--- a/internal/gossip/quarantine_test.go
+++ b/internal/gossip/quarantine_test.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// runningThere is how many requests an endpoint has when it ends.
-	runningThere = 17
-	// endingsASecond is how many endpoints end a second, one of them under the deadly request.
-	endingsASecond = 2
-	// endingSeconds is for how long that goes on.
+	// requestsPerEndpoint is the number of requests that an endpoint is running when it ends.
+	requestsPerEndpoint = 17
+	// endingsPerSecond is the number of endpoints that end per second. Each of them was running the fatal request.
+	endingsPerSecond = 2
+	// endingSeconds is for how many seconds endpoints keep ending.
 	endingSeconds = 10
-	// bytesAnEnding bounds what one ending costs a node, in bytes sent, some twice what was measured.
-	bytesAnEnding = 3000
-	// tellWithin is how soon every node has to know of a third ending: idle nodes report each 0.5 s, and so are told.
-	tellWithin = 2 * time.Second
+	// maxBytesPerEnding bounds the bytes that a node sends because of one ending, at about twice the measured value.
+	maxBytesPerEnding = 3000
+	// maxPropagationTime bounds the time until every node knows of a third ending. Idle nodes report, and therefore get
+	// replies, only every 0.5 s.
+	maxPropagationTime = 2 * time.Second
 )
 
-const deadly = quarantine.Fingerprint(1)
+// fatalRequest is the request that ends the endpoints that run it.
+const fatalRequest = quarantine.Fingerprint(1)
 
-// quarantined gives every node of a fleet a table.
-func (f *largeFleet) quarantined() {
+// addQuarantineTables gives every node of the fleet a quarantine table.
+func (f *largeFleet) addQuarantineTables() {
 	for _, n := range f.nodes {
 		n.mu.Lock()
 		n.Quarantine = quarantine.NewTable()
@@ -35,109 +37,112 @@
 	}
 }
 
-// endingOf returns the ending of an endpoint in one of six domains.
+// endingOf returns the ending of an endpoint, identified by a number, in one of six domains.
 func endingOf(number int) quarantine.Ending {
 	return quarantine.Ending{Life: uint32(number), Domain: uint32(number % 6), At: time.Now()}
 }
 
-// ending lets an endpoint end that had the deadly request at one node and other requests at others.
-func (f *largeFleet) ending(number int, deadlyAt int) {
-	if f.nodes[deadlyAt].Quarantine.Ended(endingOf(number), []quarantine.Fingerprint{deadly}, time.Now()) {
-		f.nodes[deadlyAt].Kick()
+// endEndpoint simulates the ending of an endpoint that was running the fatal request for one node and other requests for
+// other nodes.
+func (f *largeFleet) endEndpoint(number int, fatalNode int) {
+	if f.nodes[fatalNode].Quarantine.Ended(endingOf(number), []quarantine.Fingerprint{fatalRequest}, time.Now()) {
+		f.nodes[fatalNode].Kick()
 	}
-	for i := range runningThere - 1 {
+	for i := range requestsPerEndpoint - 1 {
 		other := quarantine.Fingerprint(1000*number + i)
-		f.nodes[(deadlyAt+i*7919)%len(f.nodes)].Quarantine.Ended(endingOf(number), []quarantine.Fingerprint{other}, time.Now())
+		f.nodes[(fatalNode+i*7919)%len(f.nodes)].Quarantine.Ended(endingOf(number), []quarantine.Fingerprint{other}, time.Now())
 	}
 }
 
-// holding counts the reachable nodes that hold the deadly request back.
-func (f *largeFleet) holding() int {
+// countHolding returns the number of reachable nodes that hold the fatal request back.
+func (f *largeFleet) countHolding() int {
 	count := 0
 	for i, n := range f.nodes {
-		if _, held := n.Quarantine.Held(deadly, time.Now()); held && !f.unreachable[i] {
+		if _, held := n.Quarantine.Held(fatalRequest, time.Now()); held && !f.unreachable[i] {
 			count++
 		}
 	}
 	return count
 }
 
-// heldEverywhere waits until that many nodes hold the deadly request back, and returns how long it took.
-func (f *largeFleet) heldEverywhere(nodes int) time.Duration {
+// awaitHeld waits until the given number of nodes hold the fatal request back, for at most 20 s, and returns how long that
+// took.
+func (f *largeFleet) awaitHeld(nodes int) time.Duration {
 	began := time.Now()
-	for f.holding() < nodes && time.Since(began) < 20*time.Second {
+	for f.countHolding() < nodes && time.Since(began) < 20*time.Second {
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// What the nodes tell each other of endings reaches all of them soon, whatever the fleet's size, and costs little: nothing
-// while no endpoint ends, and some 60 bytes a request and node that are told in all, of 2.6 KB for the 17 of one endpoint.
+// Guards against the traffic about endings becoming too large at any fleet size. It should be nothing while no endpoint
+// ends, and about 60 bytes per request and node otherwise; 2.6 KB was seen for the 17 requests of one endpoint.
 func TestEndingsAreKnownEverywhereSoon(t *testing.T) {
 	for _, size := range []int{9, 30, 100} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newLargeFleet(size)
-				f.quarantined()
-				qt.Check(t, f.settled(size-1), qt.IsTrue)
+				f.addQuarantineTables()
+				qt.Check(t, f.awaitSettled(size-1), qt.IsTrue)
 				time.Sleep(settleSeconds * time.Second)
-				f.before = f.sent()
-				calm := f.during(endingSeconds)
-				began := f.before
-				for i := range endingSeconds * endingsASecond {
-					f.ending(10+i, (i*2711)%size)
-					time.Sleep(time.Second / endingsASecond)
+				f.lastTraffic = f.sent()
+				baseline := f.measureTraffic(endingSeconds)
+				began := f.lastTraffic
+				for i := range endingSeconds * endingsPerSecond {
+					f.endEndpoint(10+i, (i*2711)%size)
+					time.Sleep(time.Second / endingsPerSecond)
 				}
 				sent := (f.sent().Bytes - began.Bytes) / size
-				costs := (sent - endingSeconds*calm.Bytes) / (endingSeconds * endingsASecond)
-				t.Logf("an ending of %d requests costs %d bytes a node", runningThere, costs)
-				qt.Check(t, costs < bytesAnEnding, qt.IsTrue, qt.Commentf("%d bytes", costs))
-				f.end()
+				bytesPerEnding := (sent - endingSeconds*baseline.Bytes) / (endingSeconds * endingsPerSecond)
+				t.Logf("the ending of an endpoint with %d requests costs %d bytes per node", requestsPerEndpoint, bytesPerEnding)
+				qt.Check(t, bytesPerEnding < maxBytesPerEnding, qt.IsTrue, qt.Commentf("%d bytes", bytesPerEnding))
+				f.shutDown()
 			})
 		})
 	}
 }
 
-// Whoever is away while endpoints end hears of it when it is back, and a process that starts anew hears of all.
+// Guards against nodes not learning in time of a request that ended three endpoints: reachable nodes at once, and nodes
+// that were unreachable meanwhile after they become reachable again. A restarted process receives all records.
 func TestHeldRequestIsKnownToAllNodesSoon(t *testing.T) {
 	for _, size := range []int{9, 30, 100, 300} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newLargeFleet(size)
-				f.quarantined()
-				qt.Check(t, f.settled(size-1), qt.IsTrue)
+				f.addQuarantineTables()
+				qt.Check(t, f.awaitSettled(size-1), qt.IsTrue)
 				f.cut(true)
 				time.Sleep(3 * time.Second)
 				reachable := len(f.nodes) - len(f.unreachable)
 				for i := range 3 {
-					f.ending(10+i, 3*(i*2711%(size/3)))
+					f.endEndpoint(10+i, 3*(i*2711%(size/3)))
 				}
-				took := f.heldEverywhere(reachable)
+				took := f.awaitHeld(reachable)
 				t.Logf("%d of %d nodes knew of the third ending after %s", reachable, size, took)
-				qt.Check(t, took <= tellWithin, qt.IsTrue, qt.Commentf("%s", took))
+				qt.Check(t, took <= maxPropagationTime, qt.IsTrue, qt.Commentf("%s", took))
 				f.cut(false)
-				back := f.heldEverywhere(size)
-				t.Logf("those that were cut off knew it %s after their return", back)
-				qt.Check(t, back <= 2*tellWithin, qt.IsTrue, qt.Commentf("%s", back))
-				f.end()
+				back := f.awaitHeld(size)
+				t.Logf("the nodes that had been cut off knew of it %s after they became reachable again", back)
+				qt.Check(t, back <= 2*maxPropagationTime, qt.IsTrue, qt.Commentf("%s", back))
+				f.shutDown()
 			})
 		})
 	}
 }
 
-// Two relays that do not hear each other learn of each other's findings from a third one.
+// Guards against two relays that do not hear each other missing each other's findings: they must learn them from a third.
 func TestRelaysThatDoNotHearEachOtherAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLargeFleet(9)
-		f.quarantined()
-		qt.Check(t, f.settled(8), qt.IsTrue)
+		f.addQuarantineTables()
+		qt.Check(t, f.awaitSettled(8), qt.IsTrue)
 		f.network.Part(f.ports[0], f.ports[1])
 		for i, at := range []int{0, 0, 0} {
-			f.ending(10+i, at)
+			f.endEndpoint(10+i, at)
 		}
-		took := f.heldEverywhere(9)
-		t.Logf("after %s", took)
-		qt.Check(t, took <= 2*tellWithin, qt.IsTrue, qt.Commentf("%s", took))
-		f.end()
+		took := f.awaitHeld(9)
+		t.Logf("all nodes held the request back after %s", took)
+		qt.Check(t, took <= 2*maxPropagationTime, qt.IsTrue, qt.Commentf("%s", took))
+		f.shutDown()
 	})
 }
--- a/internal/gossip/rate_limit.go
+++ b/internal/gossip/rate_limit.go
@@ -7,34 +7,34 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// RateLimit is what nodes tell each other of one endpoint's rate limit.
+// RateLimit is what nodes tell each other about one endpoint's rate limit.
 type RateLimit struct {
-	Named     bool      // false: the endpoint names none any more
-	PerSecond float64   // requests from all nodes together
-	AsOf      time.Time // the endpoint said so then
-	Recent    int       // requests sent to it lately by the nodes that this covers
-	Passed    int       // requests that the limit kept from it
+	Named     bool      // the endpoint announces a limit; false once it no longer does
+	PerSecond float64   // requests per second from all nodes together
+	AsOf      time.Time // when the endpoint announced it
+	Recent    int       // requests recently sent to the endpoint by the nodes that this covers
+	Passed    int       // requests that the limit kept from being sent to it
 }
 
-// RateLimits are the rate limits of endpoints.
+// RateLimits maps endpoints to their rate limits.
 type RateLimits map[EndpointKey]RateLimit
 
-// add counts in what others tell; the newest word of an endpoint holds.
+// add merges the limits that other nodes report: request counts are added up, and the most recently announced limit wins.
 func (r RateLimits) add(others RateLimits) {
 	for key, other := range others {
 		known := r[key]
-		newest := known
+		merged := known
 		if other.AsOf.After(known.AsOf) {
-			newest = other
+			merged = other
 		}
-		newest.Recent = known.Recent + other.Recent
-		newest.Passed = known.Passed + other.Passed
-		r[key] = newest
+		merged.Recent = known.Recent + other.Recent
+		merged.Passed = known.Passed + other.Passed
+		r[key] = merged
 	}
 }
 
-// less returns the limits without the requests of a node that was counted in.
-func (r RateLimits) less(other RateLimits) RateLimits {
+// minus returns the limits with the request counts of a node that is included in r subtracted.
+func (r RateLimits) minus(other RateLimits) RateLimits {
 	out := maps.Clone(r)
 	for key, o := range other {
 		if l, ok := out[key]; ok {
@@ -50,7 +50,7 @@
 	var out []*gossippb.RateLimit
 	for key, l := range r {
 		out = append(out, &gossippb.RateLimit{
-			Endpoint: uint32(key), Named: l.Named, PerSecond: l.PerSecond, AgeMs: roundUp(now.Sub(l.AsOf)),
+			Endpoint: uint32(key), Named: l.Named, PerSecond: l.PerSecond, AgeMs: ceilMillis(now.Sub(l.AsOf)),
 			Recent: uint32(l.Recent), Passed: uint32(l.Passed), //nolint:gosec // never negative
 		})
 	}
@@ -61,7 +61,7 @@
 	out := make(RateLimits, len(list))
 	for _, l := range list {
 		out[EndpointKey(l.Endpoint)] = RateLimit{
-			Named: l.Named, PerSecond: l.PerSecond, AsOf: asOf.Add(-millis(l.AgeMs)), Recent: int(l.Recent), Passed: int(l.Passed),
+			Named: l.Named, PerSecond: l.PerSecond, AsOf: asOf.Add(-fromMillis(l.AgeMs)), Recent: int(l.Recent), Passed: int(l.Passed),
 		}
 	}
 	return out
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -11,13 +11,14 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
+// receive handles incoming beats until ctx ends.
 func (n *Node) receive(ctx context.Context) {
 	buffer := make([]byte, maxDatagram)
 	for ctx.Err() == nil {
 		size, _, err := n.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
-				time.Sleep(Every)
+				time.Sleep(HeartbeatInterval)
 			}
 			continue
 		}
@@ -26,16 +27,17 @@
 			continue
 		}
 		now := clock.Now()
-		p := n.take(&b, now)
-		n.answer(&b, now)
+		p := n.handleBeat(&b, now)
+		n.reply(&b, now)
 		if p != nil && n.OnBeat != nil {
 			n.OnBeat(p)
 		}
 	}
 }
 
-// take takes in a beat and returns the peer, unless the beat is old or its age is unknown.
-func (n *Node) take(b *gossippb.Beat, now time.Time) *Peer {
+// handleBeat updates this node's state from a beat and returns the sender. It returns nil if the sender's address is
+// invalid, or if the beat is stale or its age is unknown.
+func (n *Node) handleBeat(b *gossippb.Beat, now time.Time) *Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.add(b.GossipAddress, now)
@@ -43,12 +45,12 @@
 		return nil
 	}
 	for _, k := range b.Known {
-		if named := n.add(k.GossipAddress, now); named != nil {
-			named.named = now
+		if mentioned := n.add(k.GossipAddress, now); mentioned != nil {
+			mentioned.mentionedAt = now
 		}
 	}
-	same := c.peer != nil && c.peer.Incarnation == b.Incarnation
-	if same && b.Tick <= c.tick {
+	sameProcess := c.peer != nil && c.peer.Incarnation == b.Incarnation
+	if sameProcess && b.Tick <= c.lastTick {
 		return nil
 	}
 	c.echo = b.Tick
@@ -56,42 +58,43 @@
 	if !ok {
 		return nil
 	}
-	if c.peer != nil && !same && asOf.Before(c.peer.Heard) {
-		return nil // a late beat of an earlier life
+	if c.peer != nil && !sameProcess && asOf.Before(c.peer.Heard) {
+		return nil // a late beat of an earlier incarnation
 	}
-	held := n.takeQuarantine(c, b, same, asOf, now)
-	appeared := !c.fresh(now)
-	news := !appeared && (isNews(c, b) || n.changesLimits(b, now))
-	n.ownStale = n.ownStale || news && c.reports
-	n.changed = n.changed || !slices.Equal(c.rosters, b.Rosters)
-	c.takeFlags(b)
+	newlyHeld := n.mergeQuarantine(c, b, sameProcess, asOf, now)
+	appeared := !c.alive(now)
+	urgentChange := !appeared && (hasUrgentChange(c, b) || n.changesRateLimits(b, now))
+	n.ownRosterStale = n.ownRosterStale || urgentChange && c.reports
+	n.liveListStale = n.liveListStale || !slices.Equal(c.usedRosters, b.Rosters)
+	c.applyFlags(b)
 	c.peer = fromWire(b, asOf)
-	c.peer.Upstream = !n.relaying && len(n.subscribed) > 0 && n.subscribed[0] == b.GossipAddress
+	c.peer.Upstream = !n.relaying && len(n.subscribedRelays) > 0 && n.subscribedRelays[0] == b.GossipAddress
 	if b.WholeFleet {
-		n.toldNodes, n.toldAt = int(b.Nodes), now
+		n.reportedFleetSize, n.fleetSizeReportedAt = int(b.Nodes), now
 	}
 	for _, w := range b.NewRosters {
 		r := rosterFromWire(w, asOf)
 		n.rosters[w.Digest] = r
-		n.view.stale = n.view.stale || n.relaying && slices.ContainsFunc(r.members, n.view.outdates)
+		n.view.stale = n.view.stale || n.relaying && slices.ContainsFunc(r.members, n.view.isOutdatedBy)
 	}
-	n.view.stale = n.view.stale || news && n.relaying && n.view.outdates(c.peer)
-	n.changed = n.changed || appeared || news || len(b.NewRosters) > 0
-	if (news || held) && n.relaying {
+	n.view.stale = n.view.stale || urgentChange && n.relaying && n.view.isOutdatedBy(c.peer)
+	n.liveListStale = n.liveListStale || appeared || urgentChange || len(b.NewRosters) > 0
+	if (urgentChange || newlyHeld) && n.relaying {
 		n.Kick()
 	}
 	return c.peer
 }
 
-// isNews reports whether a beat tells something of a live node that a relay passes on at once. Other nodes' rosters are
-// told in the next round: while a fleet starts all of them change.
-func isNews(c *contact, b *gossippb.Beat) bool {
+// hasUrgentChange reports whether a beat changes a live node's status in a way that a relay passes on at once. New rosters
+// wait for the next regular round, because all of them change while a fleet starts.
+func hasUrgentChange(c *contact, b *gossippb.Beat) bool {
 	s := &c.peer.Status
-	return s.Leaving != b.Leaving || s.Serving != b.Serving || s.LeaderEpoch != b.LeaderEpoch || warns(s, b)
+	return s.Leaving != b.Leaving || s.Serving != b.Serving || s.LeaderEpoch != b.LeaderEpoch || namesNewUnusableGroup(s, b)
 }
 
-// changesLimits reports whether a beat tells another rate limit of an endpoint than what is known from all other nodes.
-func (n *Node) changesLimits(b *gossippb.Beat, now time.Time) bool {
+// changesRateLimits reports whether a beat carries a rate limit that differs from the one known for the endpoint from all
+// other nodes.
+func (n *Node) changesRateLimits(b *gossippb.Beat, now time.Time) bool {
 	if len(b.RateLimits) == 0 {
 		return false
 	}
@@ -102,9 +105,10 @@
 	})
 }
 
-// warns reports whether a beat names a replica group that is to get no more requests and that the one before did not name.
-// Each node that is told a tenth of a second later sends a few more requests to a group that has lost a member.
-func warns(s *Status, b *gossippb.Beat) bool {
+// namesNewUnusableGroup reports whether a beat names a replica group that must not get any more requests and that the
+// sender's previous beat did not name. This is urgent: a node that learns a tenth of a second later that a group has lost
+// a member sends a few more requests to it.
+func namesNewUnusableGroup(s *Status, b *gossippb.Beat) bool {
 	isNew := func(group string) bool { return !slices.Contains(s.Lost, group) && !slices.Contains(s.Retiring, group) }
 	return slices.ContainsFunc(b.Lost, isNew) || slices.ContainsFunc(b.Retiring, isNew) ||
 		slices.ContainsFunc(b.Suspects, func(w *gossippb.Suspect) bool { return s.Suspects[w.Group].IsZero() })
--- a/internal/gossip/relay.go
+++ b/internal/gossip/relay.go
@@ -7,14 +7,14 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// Relaying reports whether this node passes on what others tell. While it has not met the fleet it is one by itself.
+// Relaying reports whether this node is a relay. A node that has not heard other nodes yet considers itself one.
 func (n *Node) Relaying() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.relaying
 }
 
-// hasReporters reports whether any node relies on this one to pass on what it tells.
+// hasReporters reports whether any node reports to this one.
 func (n *Node) hasReporters(now time.Time) bool {
 	for range n.reporters(now) {
 		return true
@@ -22,90 +22,90 @@
 	return false
 }
 
-// reporters yields the nodes that rely on this one to pass on what they tell.
+// reporters yields the live nodes that report to this one and rely on it to pass their status on.
 func (n *Node) reporters(now time.Time) iter.Seq[*contact] {
 	return func(yield func(*contact) bool) {
-		for _, c := range n.peers {
-			if c.reporter(now) && !yield(c) {
+		for _, c := range n.contacts {
+			if c.isReporter(now) && !yield(c) {
 				return
 			}
 		}
 	}
 }
 
-// sendToRelays tells the other relays what this one and those that report to it have.
+// sendToRelays sends the totals of this relay and its reporters to the other relays and to some strays.
 func (n *Node) sendToRelays(now time.Time, urgent bool) {
 	n.refreshOwnRoster(now)
-	common := n.marshal(n.partBeat(now))
-	wanted := make(map[*contact]bool, len(n.relays))
+	common := n.marshalCommon(n.relayedBeat(now))
+	relayContacts := make(map[*contact]bool, len(n.relays))
 	for _, p := range n.relays {
 		c := n.add(p.GossipAddress, now)
 		if c == nil {
 			continue
 		}
-		wanted[c] = true
-		if c.fresh(now) || now.Sub(c.sent) >= Every {
-			n.write(c, now, ToRelay, common, n.rosterFields(c, now, true, n.own))
+		relayContacts[c] = true
+		if c.alive(now) || now.Sub(c.lastSent) >= HeartbeatInterval {
+			n.writeBeat(c, now, RelayBeat, common, n.rosterFields(c, now, true, n.ownRoster))
 		}
 	}
-	for _, c := range n.strays(now, urgent, wanted) {
-		n.write(c, now, ToStray, common, n.rosterFields(c, now, true, n.own))
+	for _, c := range n.strays(now, urgent, relayContacts) {
+		n.writeBeat(c, now, StrayBeat, common, n.rosterFields(c, now, true, n.ownRoster))
 	}
 }
 
-// strays returns some of the other addresses that are due to be told: nodes that nobody hears and, of a relay, other relays
-// that it does not count on, but none of the wanted ones, which are told otherwise. A node that nobody hears may have
-// started anew and know nobody. Only some are told at a time, because while a large fleet starts each node knows all
-// addresses and hears none: with all of them 295 nodes sent 490 MB in two seconds.
-func (n *Node) strays(now time.Time, urgent bool, wanted map[*contact]bool) []*contact {
+// strays returns up to maxStraysPerRound contacts, other than the excluded ones, that are due for a beat: contacts that no
+// node hears, likely relays first, and, if this node is a relay, nodes that act as relays without having been selected. A
+// node that nobody hears may have restarted and know no other node. The number is limited because while a large fleet
+// starts each node knows all addresses and hears none: with beats to all of them 295 nodes sent 490 MB in two seconds.
+func (n *Node) strays(now time.Time, urgent bool, excluded map[*contact]bool) []*contact {
 	heard := make(map[string]bool)
 	for _, p := range n.live(now) {
 		heard[p.GossipAddress] = true
 	}
-	var named, out []*contact
-	for address, c := range n.peers { // in random order
-		if len(named) == straysARound {
-			return named
+	var likelyRelays, out []*contact
+	for address, c := range n.contacts { // in random order
+		if len(likelyRelays) == maxStraysPerRound {
+			return likelyRelays
 		}
-		pause := now.Sub(c.sent)
-		relay := n.relaying && c.relay(now) && pause >= standbyEvery
-		unheard := !c.fresh(now) && !heard[address] && (pause >= slowEvery || urgent && len(n.peers) < SmallFleet)
+		sinceSent := now.Sub(c.lastSent)
+		relay := n.relaying && c.isRelay(now) && sinceSent >= standbyInterval
+		unheard := !c.alive(now) && !heard[address] && (sinceSent >= unresponsiveInterval || urgent && len(n.contacts) < SmallFleet)
 		switch {
-		case wanted[c] || !relay && !unheard:
-		case unheard && c.promising(now):
-			named = append(named, c)
-		case len(out) < straysARound:
+		case excluded[c] || !relay && !unheard:
+		case unheard && c.isLikelyRelay(now):
+			likelyRelays = append(likelyRelays, c)
+		case len(out) < maxStraysPerRound:
 			out = append(out, c)
 		}
 	}
-	out = append(named, out...)
-	return out[:min(len(out), straysARound)]
+	out = append(likelyRelays, out...)
+	return out[:min(len(out), maxStraysPerRound)]
 }
 
-// partBeat is what the other relays are told.
-func (n *Node) partBeat(now time.Time) *gossippb.Beat {
-	part := NewTotals()
-	part.Add(&n.last)
+// relayedBeat returns the part that all beats to other relays share: the totals of this node and its reporters.
+func (n *Node) relayedBeat(now time.Time) *gossippb.Beat {
+	total := NewTotals()
+	total.Add(&n.lastStatus)
 	for c := range n.reporters(now) {
-		part.Add(&c.peer.Status)
+		total.Add(&c.peer.Status)
 	}
-	b := toWire(n.self, part.over(n.last), now)
+	b := toWire(n.self, total.applyTo(n.lastStatus), now)
 	b.Relay = n.relaying
-	b.Known = n.known(now)
+	b.Known = n.sampleKnownNodes(now)
 	return b
 }
 
-// refreshOwnRoster lists this relay and the nodes that report to it anew, if that is due.
+// refreshOwnRoster rebuilds this relay's roster if that is due.
 func (n *Node) refreshOwnRoster(now time.Time) {
-	if n.own != nil && !n.ownStale && now.Sub(n.ownAt) < rosterEvery && len(n.peers) >= SmallFleet {
+	if n.ownRoster != nil && !n.ownRosterStale && now.Sub(n.ownRosterAt) < rosterInterval && len(n.contacts) >= SmallFleet {
 		return
 	}
-	n.own, n.ownAt, n.ownStale = n.ownRoster(now), now, false
+	n.ownRoster, n.ownRosterAt, n.ownRosterStale = n.buildOwnRoster(now), now, false
 }
 
-// ownRoster lists this relay and the nodes that report to it.
-func (n *Node) ownRoster(now time.Time) *roster {
-	status := n.last
+// buildOwnRoster returns a roster of this relay and its reporters.
+func (n *Node) buildOwnRoster(now time.Time) *roster {
+	status := n.lastStatus
 	status.Loads = nil
 	members := []*Peer{{Identity: n.self, Status: status, Heard: now}}
 	for c := range n.reporters(now) {
@@ -114,48 +114,50 @@
 	return newRoster(members)
 }
 
-// answer answers a node that subscribes with what the whole fleet has, and another one now and then, so that it gets to
-// know the relays. Relays tell each other in their rounds; one that tells a node which is none has just started and knows
-// nobody else.
-func (n *Node) answer(b *gossippb.Beat, now time.Time) {
+// reply answers a beat. A subscriber gets the totals of the whole fleet. Another node gets a beat at most every
+// unresponsiveInterval/2, from which it learns of the relays. Relays do not reply to each other, because they exchange
+// beats in their regular rounds; a relay that sends to a node that is none has just started and knows no other node, so it
+// does get a reply.
+func (n *Node) reply(b *gossippb.Beat, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := n.peers[b.GossipAddress]
+	c := n.contacts[b.GossipAddress]
 	switch {
 	case c == nil || b.Relay && n.relaying:
 	case b.Subscribes:
-		n.writeWholeFleet(c, now)
-	case now.Sub(c.sent) >= slowEvery/2:
-		n.write(c, now, ToStray, n.marshal(n.partBeat(now)), &gossippb.Beat{})
+		n.sendWholeFleet(c, now)
+	case now.Sub(c.lastSent) >= unresponsiveInterval/2:
+		n.writeBeat(c, now, StrayBeat, n.marshalCommon(n.relayedBeat(now)), &gossippb.Beat{})
 	}
 }
 
-// writeWholeFleet tells a subscriber what all nodes but itself have.
-func (n *Node) writeWholeFleet(c *contact, now time.Time) {
+// sendWholeFleet sends a subscriber the totals of all nodes except the subscriber itself.
+func (n *Node) sendWholeFleet(c *contact, now time.Time) {
 	total := NewTotals()
-	total.Add(&n.last)
+	total.Add(&n.lastStatus)
 	total.AddTotals(n.othersNow(now))
-	if c.reporter(now) {
+	if c.isReporter(now) {
 		total = total.without(&c.peer.Status)
 	}
 	if c.peer != nil && c.peer.Idle {
 		total.Loads = nil
 	}
-	b := toWire(n.self, total.over(n.last), now)
+	b := toWire(n.self, total.applyTo(n.lastStatus), now)
 	b.Relay, b.WholeFleet = true, true
 	b.Nodes = uint32(1 + n.knownNow(now)) //nolint:gosec // fleets are smaller
-	n.write(c, now, ToSubscriber, n.marshal(b), n.rosterFields(c, now, c.reporter(now), n.refreshView(now)))
+	n.writeBeat(c, now, SubscriberBeat, n.marshalCommon(b), n.rosterFields(c, now, c.isReporter(now), n.refreshView(now)))
 }
 
-// rosterFields names the rosters that this node goes by, if wanted with the content of those that the receiver lacks.
-func (n *Node) rosterFields(c *contact, now time.Time, content bool, rosters ...*roster) *gossippb.Beat {
+// rosterFields returns a beat that names the given rosters by digest and, if withContent is set, includes those that the
+// receiver lacks.
+func (n *Node) rosterFields(c *contact, now time.Time, withContent bool, rosters ...*roster) *gossippb.Beat {
 	b := &gossippb.Beat{}
 	for _, r := range rosters {
 		if r == nil {
 			continue
 		}
 		b.Rosters = append(b.Rosters, r.digest)
-		if content && !c.holds[r.digest] {
+		if withContent && !c.knownRosters[r.digest] {
 			b.NewRosters = append(b.NewRosters, r.toWire(now))
 		}
 	}
--- a/internal/gossip/relays.go
+++ b/internal/gossip/relays.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// SmallFleet is up to how many nodes each of them hears all others itself.
+	// SmallFleet is the maximum number of nodes of a fleet in which each node exchanges beats with all others.
 	SmallFleet = 12
-	// leastRelays is how many relays a larger fleet has at least.
-	leastRelays = 6
+	// minRelays is the minimum number of relays in a larger fleet.
+	minRelays = 6
 )
 
-// relayPart is how many relays a fleet has for each unit of the root of its size. Relays tell each other everything ten
-// times a second, so their exchange costs more than what they tell the other nodes.
-const relayPart = 0.6
+// relaysPerSqrtNode is the ratio of the number of relays to the square root of the number of nodes. Relays send each other
+// all totals ten times a second, which costs more than their beats to the other nodes.
+const relaysPerSqrtNode = 0.6
 
-// relayCount returns how many relays a fleet has: with the root of its size neither a relay nor the exchange between
-// relays grows as the fleet does.
+// relayCount returns the number of relays for a fleet of the given size. It grows with the square root of the size, so that
+// neither the load of one relay nor the traffic between relays grows in proportion to the fleet.
 func relayCount(nodes int) int {
 	if nodes <= SmallFleet {
 		return nodes
 	}
-	return max(leastRelays, int(math.Ceil(relayPart*math.Sqrt(float64(nodes)))))
+	return max(minRelays, int(math.Ceil(relaysPerSqrtNode*math.Sqrt(float64(nodes)))))
 }
 
-// relaysOf returns which of the nodes should be relays: the leader, and of each data centre in turn the largest. Nodes
-// that see different parts of the fleet may disagree: whoever is reported to acts as a relay. Size is how many nodes the
-// fleet has, of which these are the largest.
-func relaysOf(nodes []*Peer, size int) []*Peer {
+// selectRelays returns the nodes that should be relays: the leader, then the largest nodes of the data centres in turn.
+// size is the number of nodes in the fleet, of which the given nodes are the largest. Nodes that know different parts of
+// the fleet may select different relays; this is harmless, since any node that others report to acts as a relay.
+func selectRelays(nodes []*Peer, size int) []*Peer {
 	ranked := make([]rankedPeer, 0, len(nodes))
 	for _, p := range nodes {
 		if !p.Leaving {
@@ -39,13 +39,13 @@
 		}
 	}
 	slices.SortFunc(ranked, func(a, b rankedPeer) int { return CompareSize(a.Peer, b.Peer) })
-	inZone := make(map[string]int)
+	countByDataCentre := make(map[string]int)
 	for i := range ranked {
-		zone := ranked[i].Zone
-		ranked[i].place = inZone[zone]
-		inZone[zone]++
+		dataCentre := ranked[i].Zone
+		ranked[i].rankInDataCentre = countByDataCentre[dataCentre]
+		countByDataCentre[dataCentre]++
 	}
-	slices.SortStableFunc(ranked, rankedPeer.comparePlace)
+	slices.SortStableFunc(ranked, rankedPeer.compareRank)
 	var out []*Peer
 	for _, r := range ranked[:min(len(ranked), relayCount(size))] {
 		out = append(out, r.Peer)
@@ -53,13 +53,14 @@
 	return out
 }
 
-// rankedPeer is a node with what decides whether it should be a relay.
+// rankedPeer is a node with its rank for the selection of relays.
 type rankedPeer struct {
 	*Peer
-	place int // among the nodes of its data centre, from 0
+	rankInDataCentre int // position among the nodes of its data centre by size, the largest being 0
 }
 
-// CompareSize puts the node with the larger VM first, and orders equal ones alike at all nodes.
+// CompareSize orders nodes by the capacity of their VMs, the largest first. Equal ones are ordered by a hash of the VM's
+// name, so that all nodes use the same order.
 func CompareSize(a, b *Peer) int {
 	if a.Capacity != b.Capacity {
 		return cmp.Compare(b.Capacity, a.Capacity)
@@ -67,13 +68,13 @@
 	return cmp.Or(cmp.Compare(xxhash.Sum64String(a.VM), xxhash.Sum64String(b.VM)), cmp.Compare(a.VM, b.VM))
 }
 
-// comparePlace puts the leader first, then the first of each data centre.
-func (r rankedPeer) comparePlace(other rankedPeer) int {
-	return cmp.Or(cmp.Compare(min(other.LeaderEpoch, 1), min(r.LeaderEpoch, 1)), cmp.Compare(r.place, other.place))
+// compareRank orders the leader first, then the nodes by their rank within their data centres.
+func (r rankedPeer) compareRank(other rankedPeer) int {
+	return cmp.Or(cmp.Compare(min(other.LeaderEpoch, 1), min(r.LeaderEpoch, 1)), cmp.Compare(r.rankInDataCentre, other.rankInDataCentre))
 }
 
-// preferredRelays orders the relays for one node: those of its data centre first, and so that the nodes of a data
-// centre spread over its relays.
+// preferredRelays orders the relays by one node's preference: those of its own data centre first, and within each group by
+// a hash that differs from node to node, so that the nodes of a data centre spread over its relays.
 func preferredRelays(self Identity, relays []*Peer) []*Peer {
 	out := slices.Clone(relays)
 	weight := func(p *Peer) uint64 { return xxhash.Sum64String(self.VM + "/" + p.VM) }
@@ -83,6 +84,7 @@
 	return out
 }
 
+// distance returns 0 for a node in the same data centre and 1 for any other.
 func distance(self Identity, p *Peer) int {
 	if p.Zone == self.Zone {
 		return 0
--- a/internal/gossip/relays_test.go
+++ b/internal/gossip/relays_test.go
@@ -12,14 +12,14 @@
 	"moorrun.dev/moorrun/internal/engine"
 )
 
-// fleet is some nodes that run in this process.
+// fleet is a set of nodes that run in this process and communicate over UDP on the loopback interface.
 type fleet struct {
 	nodes []*Node
 	stop  []context.CancelFunc
 	done  []chan struct{}
 }
 
-// newFleet runs nodes that each have one request at the same endpoint and know only the first node.
+// newFleet starts nodes that each have one request at the same endpoint and know only the first node's address.
 func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{}
 	for i := range size {
@@ -37,16 +37,16 @@
 	}
 	t.Cleanup(func() {
 		for i := range f.nodes {
-			f.end(i)
+			f.stopNode(i)
 		}
 	})
 	return f
 }
 
-// newSettledFleet is newFleet once its nodes see each other and as many of them relay as should.
+// newSettledFleet starts a fleet and waits until its nodes know each other and the number of relays is as expected.
 func newSettledFleet(t *testing.T, size int) *fleet {
 	f := newFleet(t, size)
-	f.awaitWhole(f.nodes)
+	f.awaitConverged(f.nodes)
 	for len(f.relays()) != relayCount(size) {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -60,13 +60,13 @@
 	go func() { defer close(done); _ = n.Run(ctx) }()
 }
 
-// end stops a node without a word to the others beyond its last beat.
-func (f *fleet) end(i int) {
+// stopNode stops a node, which sends its final beats but does not announce that it leaves.
+func (f *fleet) stopNode(i int) {
 	f.stop[i]()
 	<-f.done[i]
 }
 
-// relays returns the numbers of the nodes that pass on what others tell.
+// relays returns the indexes of the nodes that act as relays.
 func (f *fleet) relays() []int {
 	var out []int
 	for i, n := range f.nodes {
@@ -79,8 +79,8 @@
 	return out
 }
 
-// awaitWhole waits until each of the nodes sees all the others, and each of their requests once.
-func (f *fleet) awaitWhole(nodes []*Node) {
+// awaitConverged waits until each of the nodes knows all the others and counts each of their requests once.
+func (f *fleet) awaitConverged(nodes []*Node) {
 	for _, n := range nodes {
 		for {
 			now := time.Now()
@@ -96,7 +96,7 @@
 func TestLargeFleetIsHeardThroughRelays(t *testing.T) {
 	const size = 30
 	f := newSettledFleet(t, size)
-	f.awaitWhole(f.nodes)
+	f.awaitConverged(f.nodes)
 	for _, n := range f.nodes {
 		qt.Check(t, n.Known(time.Now()), qt.Equals, size-1)
 	}
@@ -105,11 +105,11 @@
 func TestFleetFindsOtherRelaysWhenSomeAreLost(t *testing.T) {
 	const size, lost = 30, 4
 	f := newFleet(t, size)
-	f.awaitWhole(f.nodes)
+	f.awaitConverged(f.nodes)
 	gone := make(map[int]bool)
 	for _, i := range f.relays()[:lost] {
 		gone[i] = true
-		f.end(i)
+		f.stopNode(i)
 	}
 	var left []*Node
 	for i, n := range f.nodes {
@@ -117,7 +117,7 @@
 			left = append(left, n)
 		}
 	}
-	f.awaitWhole(left)
+	f.awaitConverged(left)
 }
 
 func TestNodesAreToldOfOthersThanRelays(t *testing.T) {
@@ -127,14 +127,14 @@
 		address := fmt.Sprintf("127.0.0.1:%d", i+1)
 		p := &Peer{Identity: Identity{VM: fmt.Sprint(i), GossipAddress: address}, Heard: now}
 		n.add(address, now).peer = p
-		if i < leastRelays {
+		if i < minRelays {
 			n.relays = append(n.relays, p)
 		}
 	}
-	n.changed = true
+	n.liveListStale = true
 	told := make(map[string]bool)
 	for range 1000 {
-		for _, k := range n.known(now) {
+		for _, k := range n.sampleKnownNodes(now) {
 			told[k.Vm] = true
 		}
 	}
@@ -143,7 +143,7 @@
 
 func TestRelaysGrowWithTheRootOfTheFleet(t *testing.T) {
 	qt.Check(t, relayCount(9), qt.Equals, 9)
-	qt.Check(t, relayCount(61), qt.Equals, leastRelays)
+	qt.Check(t, relayCount(61), qt.Equals, minRelays)
 	qt.Check(t, relayCount(780), qt.Equals, 17)
 }
 
@@ -153,7 +153,7 @@
 		nodes = append(nodes, &Peer{Identity: Identity{VM: fmt.Sprint(i), Capacity: uint32(i % 5)}})
 	}
 	nodes[4].Leaving = true
-	for _, p := range relaysOf(nodes, len(nodes)) {
+	for _, p := range selectRelays(nodes, len(nodes)) {
 		qt.Check(t, p.Capacity, qt.Equals, uint32(4))
 		qt.Check(t, p.VM, qt.Not(qt.Equals), "4")
 	}
@@ -189,9 +189,9 @@
 	for slices.Contains(relays, known) {
 		known++
 	}
-	late := newTestNode(t, size, f.nodes[0].status)
-	late.self.Zone = "z1"
-	late.Add(f.nodes[known].Self().GossipAddress)
-	f.start(late)
-	f.awaitWhole(f.nodes)
+	newcomer := newTestNode(t, size, f.nodes[0].status)
+	newcomer.self.Zone = "z1"
+	newcomer.Add(f.nodes[known].Self().GossipAddress)
+	f.start(newcomer)
+	f.awaitConverged(f.nodes)
 }
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -7,71 +7,73 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// report tells this node's status to its relays: to the first each time, to the second now and then.
+// report sends this node's status to its relays: to the first in each round, to the second less often.
 func (n *Node) report(now time.Time, urgent bool) {
-	n.own = nil
-	n.subscribe(now)
-	b := toWire(n.self, n.last, now)
-	b.Known = n.known(now)
-	common := n.marshal(b)
-	own := make(map[*contact]bool, len(n.subscribed))
-	for i, address := range n.subscribed {
-		c := n.peers[address]
-		own[c] = true
-		c.seldom = n.last.Idle
-		if c.fresh(now) && !urgent && now.Sub(c.sent) < reportEvery(i, n.last.Idle) {
+	n.ownRoster = nil
+	n.refreshSubscriptions(now)
+	b := toWire(n.self, n.lastStatus, now)
+	b.Known = n.sampleKnownNodes(now)
+	common := n.marshalCommon(b)
+	subscribedContacts := make(map[*contact]bool, len(n.subscribedRelays))
+	for i, address := range n.subscribedRelays {
+		c := n.contacts[address]
+		subscribedContacts[c] = true
+		c.idleRate = n.lastStatus.Idle
+		if c.alive(now) && !urgent && now.Sub(c.lastSent) < reportInterval(i, n.lastStatus.Idle) {
 			continue
 		}
-		n.write(c, now, Report, common, &gossippb.Beat{Subscribes: true, Reports: i == 0})
+		n.writeBeat(c, now, ReportBeat, common, &gossippb.Beat{Subscribes: true, Reports: i == 0})
 	}
 	if n.upstream(now) != nil {
 		return
 	}
-	for _, c := range n.strays(now, urgent, own) { // nobody answers: anyone may know more
-		n.write(c, now, ToStray, common, &gossippb.Beat{})
+	for _, c := range n.strays(now, urgent, subscribedContacts) { // no relay answers, so any other node may know more
+		n.writeBeat(c, now, StrayBeat, common, &gossippb.Beat{})
 	}
 }
 
-// reportEvery is the least interval between two beats to the first relay of a node, or to a further one.
-func reportEvery(i int, idle bool) time.Duration {
+// reportInterval returns the minimum interval between two beats from a node to the relay at the given position of its list
+// of relays, counted from 0.
+func reportInterval(position int, idle bool) time.Duration {
 	switch {
-	case i == 0 && !idle:
+	case position == 0 && !idle:
 		return 0
-	case i == 0:
-		return idleEvery
+	case position == 0:
+		return idleInterval
 	case !idle:
-		return standbyEvery
+		return standbyInterval
 	}
-	return idleStandbyEvery
+	return idleStandbyInterval
 }
 
-// relaysPerNode is how many relays a node that is none subscribes to.
+// relaysPerNode is the number of relays that a node subscribes to if it is not one itself.
 const relaysPerNode = 2
 
-// subscribe keeps the relays that answer and finds others for those that do not.
-func (n *Node) subscribe(now time.Time) {
-	n.subscribed = slices.DeleteFunc(n.subscribed, func(address string) bool {
-		c := n.peers[address]
+// refreshSubscriptions drops the subscribed relays that no longer answer or are no longer relays, and subscribes to others
+// instead.
+func (n *Node) refreshSubscriptions(now time.Time) {
+	n.subscribedRelays = slices.DeleteFunc(n.subscribedRelays, func(address string) bool {
+		c := n.contacts[address]
 		isRelay := slices.ContainsFunc(n.relays, func(p *Peer) bool { return p.GossipAddress == address })
-		return c == nil || !isRelay || c.silent(now)
+		return c == nil || !isRelay || c.isUnresponsive(now)
 	})
-	// One that answers comes before one that is only tried.
-	slices.SortStableFunc(n.subscribed, func(a, b string) int { return n.untried(a, now) - n.untried(b, now) })
+	// Relays that answer come first.
+	slices.SortStableFunc(n.subscribedRelays, func(a, b string) int { return n.livenessRank(a, now) - n.livenessRank(b, now) })
 	for _, p := range preferredRelays(n.self, n.relays) {
-		if len(n.subscribed) >= relaysPerNode {
+		if len(n.subscribedRelays) >= relaysPerNode {
 			return
 		}
 		c := n.add(p.GossipAddress, now)
-		if c == nil || c.silent(now) || slices.Contains(n.subscribed, p.GossipAddress) {
+		if c == nil || c.isUnresponsive(now) || slices.Contains(n.subscribedRelays, p.GossipAddress) {
 			continue
 		}
-		n.subscribed = append(n.subscribed, p.GossipAddress)
+		n.subscribedRelays = append(n.subscribedRelays, p.GossipAddress)
 	}
 }
 
-// untried returns 0 for an address that answers and 1 for one that is only tried.
-func (n *Node) untried(address string, now time.Time) int {
-	if n.peers[address].fresh(now) {
+// livenessRank returns 0 for the address of a live contact, else 1.
+func (n *Node) livenessRank(address string, now time.Time) int {
+	if n.contacts[address].alive(now) {
 		return 0
 	}
 	return 1
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -11,19 +11,19 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// roster lists the nodes that report to one relay, and the relay.
+// roster lists a group of nodes: a relay and the nodes that report to it, or the nodes of a partial view.
 type roster struct {
-	digest  uint64 // of all but the uptimes
-	members []*Peer
-	used    time.Time // it was last named by another node
+	digest   uint64 // hash of the members without their uptimes
+	members  []*Peer
+	lastUsed time.Time // when a live node was last known to use it
 }
 
-// newRoster returns the roster of those nodes.
+// newRoster returns a roster of the given nodes, which it sorts by VM.
 func newRoster(members []*Peer) *roster {
 	slices.SortFunc(members, func(a, b *Peer) int { return cmp.Compare(a.VM, b.VM) })
 	hash := xxhash.New()
 	for _, m := range members {
-		record := recordOf(m)
+		record := rosterEntry(m)
 		record.UptimeMs = 0
 		if content, err := (proto.MarshalOptions{Deterministic: true}).Marshal(record); err == nil {
 			_, _ = hash.Write(content)
@@ -32,27 +32,27 @@
 	return &roster{digest: hash.Sum64(), members: members}
 }
 
-// recordOf returns what a roster tells of a node.
-func recordOf(p *Peer) *gossippb.Beat {
+// rosterEntry returns a node's entry in a roster: its identity and a part of its status.
+func rosterEntry(p *Peer) *gossippb.Beat {
 	s := p.Status
 	return toWire(p.Identity, Status{
 		Leaving: s.Leaving, Serving: s.Serving, Eligible: s.Eligible, LeaderEpoch: s.LeaderEpoch, Uptime: s.Uptime,
 	}, time.Time{})
 }
 
-// toWire returns the roster as it is sent at now.
+// toWire encodes the roster, with the uptimes of its members as of now.
 func (r *roster) toWire(now time.Time) *gossippb.Roster {
 	out := &gossippb.Roster{Digest: r.digest}
 	for _, m := range r.members {
-		record := recordOf(m)
-		record.UptimeMs = roundUp(m.Uptime + now.Sub(m.Heard))
+		record := rosterEntry(m)
+		record.UptimeMs = ceilMillis(m.Uptime + now.Sub(m.Heard))
 		out.Members = append(out.Members, record)
 	}
 	return out
 }
 
 func rosterFromWire(w *gossippb.Roster, asOf time.Time) *roster {
-	r := &roster{digest: w.Digest, used: asOf}
+	r := &roster{digest: w.Digest, lastUsed: asOf}
 	for _, m := range w.Members {
 		r.members = append(r.members, fromWire(m, asOf))
 	}
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -9,14 +9,14 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// send tells this node's status to those that are due; urgent, to everyone who hears this node regularly.
-func (n *Node) send(now time.Time, urgent bool) {
+// sendRound sends this node's status to the contacts that are due, or, if urgent is set, to all that it regularly sends to.
+func (n *Node) sendRound(now time.Time, urgent bool) {
 	status := n.status(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.last = status
-	n.review(now, status)
-	n.forget(now)
+	n.lastStatus = status
+	n.refreshRelays(now, status)
+	n.expire(now)
 	if n.relaying {
 		n.sendToRelays(now, urgent)
 		return
@@ -24,17 +24,17 @@
 	n.report(now, urgent)
 }
 
-// review decides which nodes should be relays, and whether this node is one.
-func (n *Node) review(now time.Time, status Status) {
+// refreshRelays determines which nodes should be relays, and whether this node acts as one.
+func (n *Node) refreshRelays(now time.Time, status Status) {
 	nodes := append([]*Peer{{Identity: n.self, Status: status, Heard: now}}, n.live(now)...)
 	size := len(nodes)
 	if n.upstream(now) != nil {
-		size = max(size, n.toldNodes) // it knows the largest ones
+		size = max(size, n.reportedFleetSize) // nodes holds only the largest of them
 	} else {
-		nodes = append(nodes, n.presumed(now)...)
+		nodes = append(nodes, n.presumedNodes(now)...)
 		size = len(nodes)
 	}
-	relays := relaysOf(nodes, size)
+	relays := selectRelays(nodes, size)
 	isSelf := func(p *Peer) bool { return p.VM == n.self.VM }
 	n.relaying = status.LeaderEpoch > 0 || slices.ContainsFunc(relays, isSelf) || n.hasReporters(now)
 	if status.Leaving {
@@ -42,49 +42,49 @@
 	}
 	for _, p := range n.live(now) {
 		if c := n.add(p.GossipAddress, now); c != nil {
-			c.added = now // kept, though perhaps only relays hear it
+			c.addedAt = now // does not expire while it is live, even if only relays hear it
 		}
 	}
 	n.relays = slices.DeleteFunc(relays, isSelf)
 }
 
-// presumed returns the nodes that have registered and that nobody has heard yet.
-func (n *Node) presumed(now time.Time) []*Peer {
+// presumedNodes returns the nodes that have registered and may be running, but that no node has heard yet.
+func (n *Node) presumedNodes(now time.Time) []*Peer {
 	var out []*Peer
-	for _, c := range n.peers {
-		p := c.presumed(now)
+	for _, c := range n.contacts {
+		p := c.presumedPeer(now)
 		if p == nil {
 			continue
 		}
-		if _, heard := n.seen[p.VM]; !heard {
+		if _, isHeard := n.lastSeen[p.VM]; !isHeard {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// forget drops the addresses and rosters that are of no use any more.
-func (n *Node) forget(now time.Time) {
-	for address, c := range n.peers {
-		if c.lastSign().Add(forgetAfter).Before(now) {
-			delete(n.peers, address)
+// expire removes contacts that were not heard for contactExpiry and rosters that were not used for rosterExpiry.
+func (n *Node) expire(now time.Time) {
+	for address, c := range n.contacts {
+		if c.lastActivity().Add(contactExpiry).Before(now) {
+			delete(n.contacts, address)
 			continue
 		}
-		for _, digest := range c.rosters {
-			if r := n.rosters[digest]; r != nil && c.fresh(now) {
-				r.used = now
+		for _, digest := range c.usedRosters {
+			if r := n.rosters[digest]; r != nil && c.alive(now) {
+				r.lastUsed = now
 			}
 		}
 	}
 	for digest, r := range n.rosters {
-		if now.Sub(r.used) > rosterFor {
+		if now.Sub(r.lastUsed) > rosterExpiry {
 			delete(n.rosters, digest)
 		}
 	}
 }
 
-// marshal encodes what all receivers of a round get.
-func (n *Node) marshal(b *gossippb.Beat) []byte {
+// marshalCommon encodes the part of a round's beats that is the same for all receivers. It returns nil on failure.
+func (n *Node) marshalCommon(b *gossippb.Beat) []byte {
 	for digest := range n.rosters {
 		b.Holds = append(b.Holds, digest)
 	}
@@ -95,10 +95,10 @@
 	return content
 }
 
-// write sends the common part of a beat and, appended as a second message that sets the fields which differ from
-// receiver to receiver, the rest.
-func (n *Node) write(c *contact, now time.Time, kind BeatKind, common []byte, own *gossippb.Beat) {
-	own.Tick, own.Echo = c.sending(now)
+// writeBeat sends a beat to a contact: the encoded common part, followed by the encoded fields that are specific to this
+// receiver. Protocol buffers merge two concatenated messages when they are decoded.
+func (n *Node) writeBeat(c *contact, now time.Time, kind BeatKind, common []byte, own *gossippb.Beat) {
+	own.Tick, own.Echo = c.recordSend(now)
 	n.addQuarantine(c, own, now)
 	rest, err := proto.Marshal(own)
 	if err != nil || common == nil {
--- a/internal/gossip/server.go
+++ b/internal/gossip/server.go
@@ -12,24 +12,24 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-// pullBytes bounds the objects of one reply. A copy of 3,000 endpoints is 1.2 MB; sent whole to 30 nodes at once it took
-// over 200 MB of memory, and on a slow link nothing of it was kept when the time for one call had passed.
-const pullBytes = 256 << 10
+// maxPullBytes bounds the size in bytes of the objects in one reply to Pull. A copy of 3,000 endpoints is 1.2 MB. Sent
+// whole to 30 nodes at once it took over 200 MB of memory, and on a slow link a call that timed out transferred nothing.
+const maxPullBytes = 256 << 10
 
-// Server answers the calls of other nodes.
+// Server answers the drpc calls of other nodes.
 type Server struct {
 	incarnation string
 	mirror      *mirror.Mirror
-	ask         func(ctx context.Context, id, address string) bool
-	packer      packer
+	probe       func(ctx context.Context, id, address string) bool
+	compressor  compressor
 }
 
-// NewServer returns a Server that gives out what m holds; ask tells whether an endpoint answers this node.
-func NewServer(incarnation string, m *mirror.Mirror, ask func(ctx context.Context, id, address string) bool) *Server {
-	return &Server{incarnation: incarnation, mirror: m, ask: ask}
+// NewServer returns a Server that serves the objects of m; probe contacts an endpoint and reports whether it answered.
+func NewServer(incarnation string, m *mirror.Mirror, probe func(ctx context.Context, id, address string) bool) *Server {
+	return &Server{incarnation: incarnation, mirror: m, probe: probe}
 }
 
-// Serve answers on lis until ctx ends.
+// Serve accepts connections on lis and answers calls until ctx ends.
 func (s *Server) Serve(ctx context.Context, lis net.Listener) error {
 	mux := drpcmux.New()
 	if err := gossippb.DRPCRegisterGossip(mux, s); err != nil {
@@ -38,7 +38,7 @@
 	return drpcserver.New(mux).Serve(ctx, lis)
 }
 
-// Pull implements the drpc service.
+// Pull implements the drpc method of that name: it returns store objects that changed after the requested sequence number.
 func (s *Server) Pull(_ context.Context, request *gossippb.PullRequest) (*gossippb.PullReply, error) {
 	since := request.Since
 	if request.Incarnation != s.incarnation {
@@ -48,17 +48,17 @@
 	if request.Routing {
 		page = s.mirror.RoutingPage
 	}
-	objects, sequence := page(since, pullBytes)
+	objects, sequence := page(since, maxPullBytes)
 	reply := &gossippb.PullReply{Incarnation: s.incarnation, Sequence: sequence}
 	for _, o := range objects {
 		reply.Objects = append(reply.Objects, &gossippb.Object{Key: o.Key, Version: o.Version, Value: o.Value, Deleted: o.Deleted})
 	}
-	return s.packer.pack(request, reply)
+	return s.compressor.compress(request, reply)
 }
 
-// Probe implements the drpc service.
+// Probe implements the drpc method of that name: it reports whether an endpoint answers this node.
 func (s *Server) Probe(ctx context.Context, request *gossippb.ProbeRequest) (*gossippb.ProbeReply, error) {
-	return &gossippb.ProbeReply{Answered: s.ask(ctx, request.Id, request.Address)}, nil
+	return &gossippb.ProbeReply{Answered: s.probe(ctx, request.Id, request.Address)}, nil
 }
 
 func objectsFromWire(list []*gossippb.Object) []infra.Object {
--- a/internal/gossip/size_test.go
+++ b/internal/gossip/size_test.go
@@ -14,27 +14,29 @@
 )
 
 const (
-	// usedAZone is how many nodes of a data centre have requests.
-	usedAZone = 8
-	// registrarOneIn is how many nodes there are for each that the others know from the start.
-	registrarOneIn = 8
-	groupsInUse    = 120
-	// listedAfter is how long after its start a node knows the registrars.
-	listedAfter = 100 * time.Millisecond
-	// settleSeconds is how long a fleet may take to settle beyond the time in which its traffic is counted.
+	// busyNodesPerDataCentre is the number of nodes of each data centre that have requests.
+	busyNodesPerDataCentre = 8
+	// nodesPerRegistrar is the number of nodes per registrar. Registrars are the nodes that have registered in the store, so
+	// that others learn of them when they start.
+	nodesPerRegistrar = 8
+	// groupsInUse is the number of replica groups whose heads have requests.
+	groupsInUse = 120
+	// registrarDelay is the time from the start of a node until it knows the registrars.
+	registrarDelay = 100 * time.Millisecond
+	// settleSeconds is how many seconds a fleet may take to settle after a measurement of its traffic.
 	settleSeconds = 10
 )
 
-// largeFleet runs the gossip of many nodes over a network in a synctest bubble.
+// largeFleet runs the gossip of many nodes over a simulated network in a synctest bubble.
 type largeFleet struct {
 	network *network.Network
 	nodes   []*Node
 	ports   []*network.Port
-	// unreachable says which nodes are cut off.
+	// unreachable holds the indexes of the nodes that are cut off from the network.
 	unreachable map[int]bool
 	stop        context.CancelFunc
 	running     sync.WaitGroup
-	before      network.Traffic
+	lastTraffic network.Traffic
 }
 
 func newLargeFleet(size int) *largeFleet {
@@ -51,21 +53,21 @@
 			id.Capacity = 800
 		}
 		f.ports = append(f.ports, p)
-		f.nodes = append(f.nodes, NewNode(id, p, statusOf(i)))
+		f.nodes = append(f.nodes, NewNode(id, p, testStatus(i)))
 	}
 	for i, n := range f.nodes {
 		start := time.Duration(i*7919%300) * time.Millisecond
 		f.running.Go(func() {
 			time.Sleep(start)
-			time.AfterFunc(listedAfter, func() { f.list(n) })
+			time.AfterFunc(registrarDelay, func() { f.introduceRegistrars(n) })
 			_ = n.Run(ctx)
 		})
 	}
 	return f
 }
 
-// statusOf returns what node i says of itself: it serves a second after the start, and the first one leads.
-func statusOf(i int) func(now time.Time) Status {
+// testStatus returns the status function of node i: nodes serve from one second after their start, and node 0 leads.
+func testStatus(i int) func(now time.Time) Status {
 	started := time.Now()
 	loads := Loads{}
 	for j := range 3 {
@@ -73,7 +75,7 @@
 	}
 	return func(now time.Time) Status {
 		up := now.Sub(started)
-		s := Status{Serving: up > time.Second, Eligible: true, Uptime: up, ProofAt: now, Idle: i >= usedAZone*network.DataCentres, Suspects: map[string]time.Time{}}
+		s := Status{Serving: up > time.Second, Eligible: true, Uptime: up, ProofAt: now, Idle: i >= busyNodesPerDataCentre*network.DataCentres, Suspects: map[string]time.Time{}}
 		if !s.Idle {
 			s.Loads = loads
 			s.Demands = map[string]Demand{"m": {Running: 3}}
@@ -85,29 +87,30 @@
 	}
 }
 
-// list makes the registered nodes known to n.
-func (f *largeFleet) list(n *Node) {
+// introduceRegistrars introduces the registrars to n.
+func (f *largeFleet) introduceRegistrars(n *Node) {
 	for i, other := range f.nodes {
-		if i%registrarOneIn == 3 {
+		if i%nodesPerRegistrar == 3 {
 			n.Introduce(other.Self())
 		}
 	}
 }
 
-// during lets some seconds pass and returns what a node sent a second meanwhile, on average.
-func (f *largeFleet) during(seconds int) network.Traffic {
+// measureTraffic waits for the given time and returns the average traffic that one node sent per second since the last
+// measurement.
+func (f *largeFleet) measureTraffic(seconds int) network.Traffic {
 	time.Sleep(time.Duration(seconds) * time.Second)
 	now := f.sent()
 	share := seconds * len(f.nodes)
 	out := network.Traffic{
-		Datagrams: (now.Datagrams - f.before.Datagrams) / share, Bytes: (now.Bytes - f.before.Bytes) / share,
-		FarBytes: (now.FarBytes - f.before.FarBytes) / share,
+		Datagrams: (now.Datagrams - f.lastTraffic.Datagrams) / share, Bytes: (now.Bytes - f.lastTraffic.Bytes) / share,
+		FarBytes: (now.FarBytes - f.lastTraffic.FarBytes) / share,
 	}
-	f.before = now
+	f.lastTraffic = now
 	return out
 }
 
-// sent returns what all nodes have sent so far.
+// sent returns the total traffic of all nodes since the start.
 func (f *largeFleet) sent() network.Traffic {
 	var out network.Traffic
 	for _, p := range f.ports {
@@ -120,25 +123,25 @@
 }
 
 // cut makes a third of the nodes unreachable, or reachable again.
-func (f *largeFleet) cut(apart bool) {
+func (f *largeFleet) cut(unreachable bool) {
 	clear(f.unreachable)
 	for i, p := range f.ports {
-		if apart && i%3 == 1 {
+		if unreachable && i%3 == 1 {
 			f.unreachable[i] = true
 		}
 		f.network.Cut(f.unreachable[i], p)
 	}
 }
 
-// lose makes a node unreachable for good.
-func (f *largeFleet) lose(i int) {
+// disconnect makes a node permanently unreachable.
+func (f *largeFleet) disconnect(i int) {
 	f.network.Cut(true, f.ports[i])
 	f.unreachable[i] = true
 }
 
-// whole reports whether every reachable relay sees that many others, and every other node all of them or as many of each
-// data centre as a partial view holds.
-func (f *largeFleet) whole(others int) bool {
+// isComplete reports whether every reachable relay knows the given number of other nodes, and every other reachable node
+// knows either all of these or as many of each data centre as a partial view holds.
+func (f *largeFleet) isComplete(others int) bool {
 	for i, n := range f.nodes {
 		if f.unreachable[i] {
 			continue
@@ -147,32 +150,34 @@
 		if len(seen) == others {
 			continue
 		}
-		if n.Relaying() || !holdsView(seen, len(f.nodes)) || n.Known(time.Now()) < others {
+		if n.Relaying() || !isCompleteView(seen, len(f.nodes)) || n.Known(time.Now()) < others {
 			return false
 		}
 	}
 	return true
 }
 
-// holdsView reports whether these are enough nodes of each data centre of a fleet of that size.
-func holdsView(seen []*Peer, size int) bool {
-	byZone := make(map[string]int)
+// isCompleteView reports whether the seen nodes include, for each data centre, at least as many as the partial view of a
+// fleet of the given size holds.
+func isCompleteView(seen []*Peer, size int) bool {
+	seenByDataCentre := make(map[string]int)
 	for _, p := range seen {
-		byZone[p.Zone]++
+		seenByDataCentre[p.Zone]++
 	}
-	for _, n := range byZone {
-		if n < min(viewLeast, size/network.DataCentres)-1 { // the node itself is of one
+	for _, n := range seenByDataCentre {
+		if n < min(minViewNodes, size/network.DataCentres)-1 { // a node does not see itself
 			return false
 		}
 	}
-	return len(byZone) == network.DataCentres
+	return len(seenByDataCentre) == network.DataCentres
 }
 
-// settled waits until every reachable node sees of the others what it should, and reports whether it comes to that.
-func (f *largeFleet) settled(others int) bool {
+// awaitSettled waits until the fleet is complete as seen by every reachable node. It returns false if that takes more than
+// settleSeconds.
+func (f *largeFleet) awaitSettled(others int) bool {
 	for range 4 * settleSeconds {
-		if f.whole(others) {
-			f.before = f.sent()
+		if f.isComplete(others) {
+			f.lastTraffic = f.sent()
 			return true
 		}
 		time.Sleep(time.Second / 4)
@@ -180,36 +185,36 @@
 	return false
 }
 
-func (f *largeFleet) end() {
+func (f *largeFleet) shutDown() {
 	f.stop()
 	f.running.Wait()
 }
 
-// What a node sends may not grow with its fleet, whatever befalls it. The bounds are some twice what was measured; one node
-// may use 20 KB a second.
+// Guards against the traffic that a node sends growing with the size of its fleet, at rest and after failures. The bounds
+// are about twice the measured values; at rest a node may send 20 KB per second.
 func TestPartOfANodeDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range []int{30, 100, 300} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newLargeFleet(size)
 				check := func(what string, seconds, bytes, datagrams int) {
-					got := f.during(seconds)
-					t.Logf("%s: a node sends %d datagrams and %d bytes a second, %d of them to other data centres", what, got.Datagrams, got.Bytes, got.FarBytes)
+					got := f.measureTraffic(seconds)
+					t.Logf("%s: a node sends %d datagrams and %d bytes per second, %d of the bytes to other data centres", what, got.Datagrams, got.Bytes, got.FarBytes)
 					qt.Check(t, got.Bytes < bytes, qt.IsTrue, qt.Commentf("%s: %d bytes", what, got.Bytes))
 					qt.Check(t, got.Datagrams < datagrams, qt.IsTrue, qt.Commentf("%s: %d datagrams", what, got.Datagrams))
 				}
 				check("start", 6, 60_000, 80)
-				qt.Check(t, f.settled(size-1), qt.IsTrue)
-				check("at rest", 2, 20_000, 60)
+				qt.Check(t, f.awaitSettled(size-1), qt.IsTrue)
+				check("steady state", 2, 20_000, 60)
 				f.cut(true)
-				check("a third cut off", 3, 40_000, 80)
+				check("a third of the nodes cut off", 3, 40_000, 80)
 				f.cut(false)
-				check("back", 4, 60_000, 80)
-				qt.Check(t, f.settled(size-1), qt.IsTrue)
-				f.lose(0)
-				check("the leader lost", 3, 40_000, 60)
-				qt.Check(t, f.settled(size-2), qt.IsTrue)
-				f.end()
+				check("those nodes reachable again", 4, 60_000, 80)
+				qt.Check(t, f.awaitSettled(size-1), qt.IsTrue)
+				f.disconnect(0)
+				check("the leader cut off", 3, 40_000, 60)
+				qt.Check(t, f.awaitSettled(size-2), qt.IsTrue)
+				f.shutDown()
 			})
 		})
 	}
--- a/internal/gossip/totals.go
+++ b/internal/gossip/totals.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Totals are the loads and doubts of several nodes together.
+// Totals are the combined loads, rate limits, demands and unusable replica groups of several nodes.
 type Totals struct {
-	Busy     int // nodes with requests
+	Busy     int // number of nodes with requests
 	Loads    Loads
 	Limits   RateLimits
-	Cold     RateLimits
-	Suspects map[string]time.Time // groups that stand still, since when at the latest
-	Retiring []string             // groups that a leader is about to end
-	Lost     []string             // groups that a leader has found to have lost a member
+	Cold     RateLimits           // request counts at recently started endpoints
+	Suspects map[string]time.Time // replica groups that have stalled, with the latest time that any node reports for each
+	Retiring []string             // replica groups that a leader is about to end
+	Lost     []string             // replica groups that a leader has found to have lost a member
 	Demands  map[string]Demand    // by model
 }
 
-// NewTotals returns Totals of no node.
+// NewTotals returns empty Totals.
 func NewTotals() *Totals {
 	return &Totals{Loads: make(Loads), Limits: make(RateLimits), Cold: make(RateLimits), Suspects: make(map[string]time.Time), Demands: make(map[string]Demand)}
 }
 
-// Add counts in what a node has told.
+// Add adds the status of a node.
 func (t *Totals) Add(s *Status) {
 	t.Busy += s.Busy
 	for endpoint, n := range s.Loads {
@@ -39,12 +39,12 @@
 	for model, d := range s.Demands {
 		t.Demands[model] = t.Demands[model].Plus(d)
 	}
-	t.Retiring = union(t.Retiring, s.Retiring)
-	t.Lost = union(t.Lost, s.Lost)
+	t.Retiring = appendMissing(t.Retiring, s.Retiring)
+	t.Lost = appendMissing(t.Lost, s.Lost)
 }
 
-// union adds what the list does not hold yet.
-func union(list, more []string) []string {
+// appendMissing appends to list the names that it does not contain yet.
+func appendMissing(list, more []string) []string {
 	for _, name := range more {
 		if !slices.Contains(list, name) {
 			list = append(list, name)
@@ -53,32 +53,32 @@
 	return list
 }
 
-// AddTotals counts in what other totals cover.
+// AddTotals adds other totals.
 func (t *Totals) AddTotals(other *Totals) {
-	s := other.over(Status{})
+	s := other.applyTo(Status{})
 	t.Add(&s)
 }
 
-// without returns the totals less the loads, sendings and demands of one of the nodes that were counted in. Its doubts stay:
-// it knows them anyway.
+// without returns the totals without the loads, request counts and demands of one of the included nodes. Its suspects and
+// its retiring and lost groups stay, because the receiver, that node itself, knows them anyway.
 func (t *Totals) without(s *Status) *Totals {
 	out := *t
 	out.Busy -= s.Busy
 	out.Loads, out.Demands = maps.Clone(t.Loads), maps.Clone(t.Demands)
-	out.Limits, out.Cold = t.Limits.less(s.Limits), t.Cold.less(s.Cold)
+	out.Limits, out.Cold = t.Limits.minus(s.Limits), t.Cold.minus(s.Cold)
 	for endpoint, n := range s.Loads {
 		if out.Loads[endpoint] -= n; out.Loads[endpoint] <= 0 {
 			delete(out.Loads, endpoint)
 		}
 	}
 	for model, d := range s.Demands {
-		out.Demands[model] = t.Demands[model].less(d)
+		out.Demands[model] = t.Demands[model].minus(d)
 	}
 	return &out
 }
 
-// over returns the status with the totals in place of the node's own loads and doubts.
-func (t *Totals) over(s Status) Status {
+// applyTo returns the status with the totals in place of the node's own values.
+func (t *Totals) applyTo(s Status) Status {
 	s.Limits, s.Cold = t.Limits, t.Cold
 	s.Busy, s.Loads, s.Suspects, s.Retiring, s.Lost, s.Demands = t.Busy, t.Loads, t.Suspects, t.Retiring, t.Lost, t.Demands
 	return s
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// Live returns the other nodes heard lately, by this node or by relays that it hears, in order of VM. A node of a large fleet
-// that is no relay knows of the largest of each data centre only.
+// Live returns the other live nodes, heard by this node or by relays that it hears, sorted by VM. In a large fleet a node
+// that is not a relay knows only the nodes of its relays' partial views, mainly the largest of each data centre.
 func (n *Node) Live(now time.Time) []*Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.live(now)
 }
 
-// live is Live with the lock held.
+// live is Live for callers that hold n.mu.
 func (n *Node) live(now time.Time) []*Peer {
-	if n.liveAt.Equal(now) || now.Sub(n.liveAt) < viewFor && !n.changed {
+	if n.liveAt.Equal(now) || now.Sub(n.liveAt) < derivedStateTTL && !n.liveListStale {
 		return n.liveList
 	}
-	found := make(map[string]*Peer, len(n.peers))
-	for _, c := range n.peers {
-		if c.fresh(now) {
+	found := make(map[string]*Peer, len(n.contacts))
+	for _, c := range n.contacts {
+		if c.alive(now) {
 			found[c.peer.VM] = c.peer
 		}
 	}
-	for _, c := range n.peers {
-		if !c.fresh(now) {
+	for _, c := range n.contacts {
+		if !c.alive(now) {
 			continue
 		}
-		for _, digest := range c.rosters {
+		for _, digest := range c.usedRosters {
 			n.addRoster(found, n.rosters[digest], c.peer.Heard)
 		}
 	}
 	out := make([]*Peer, 0, len(found))
 	for _, p := range found {
-		n.seen[p.VM] = now
-		n.zoneSeen[p.Zone] = now
+		n.lastSeen[p.VM] = now
+		n.dataCentreLastSeen[p.Zone] = now
 		out = append(out, p)
 	}
 	slices.SortFunc(out, func(a, b *Peer) int { return cmp.Compare(a.VM, b.VM) })
-	n.liveAt, n.liveList, n.changed = now, out, false
+	n.liveAt, n.liveList, n.liveListStale = now, out, false
 	return out
 }
 
-// addRoster adds the nodes of a roster that are not found yet, as heard by the relay that goes by it.
+// addRoster adds the nodes of a roster that are missing from found, as heard at the time when the relay that uses the
+// roster was heard.
 func (n *Node) addRoster(found map[string]*Peer, r *roster, heard time.Time) {
 	if r == nil {
 		return
@@ -60,75 +61,77 @@
 	}
 }
 
-// OutOfSight reports whether a data centre had live nodes lately and none is live now: nobody can tell then what goes on
-// there, because those who could do not hear the question or are not heard.
+// OutOfSight reports whether a data centre had live nodes within contactExpiry and has none now. The state of its endpoints
+// is then unknown: the nodes that could be asked do not receive the question, or their answers do not arrive.
 func (n *Node) OutOfSight(dataCentre string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	live := n.live(now)
-	at, known := n.zoneSeen[dataCentre]
-	inSight := dataCentre == n.self.Zone || slices.ContainsFunc(live, func(p *Peer) bool { return p.Zone == dataCentre })
-	return known && !inSight && now.Sub(at) < forgetAfter
+	at, wasSeen := n.dataCentreLastSeen[dataCentre]
+	hasLiveNode := dataCentre == n.self.Zone || slices.ContainsFunc(live, func(p *Peer) bool { return p.Zone == dataCentre })
+	return wasSeen && !hasLiveNode && now.Sub(at) < contactExpiry
 }
 
-// Known returns how many other nodes have been heard and are not forgotten, by this node or by its relay.
+// Known returns the number of other nodes that this node or its relay has heard within contactExpiry.
 func (n *Node) Known(now time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.knownNow(now)
 }
 
-// knownNow is Known with the lock held.
+// knownNow is Known for callers that hold n.mu.
 func (n *Node) knownNow(now time.Time) int {
 	n.live(now)
-	for vm, at := range n.seen {
-		if now.Sub(at) > forgetAfter {
-			delete(n.seen, vm)
+	for vm, at := range n.lastSeen {
+		if now.Sub(at) > contactExpiry {
+			delete(n.lastSeen, vm)
 		}
 	}
-	if !n.relaying && now.Sub(n.toldAt) <= forgetAfter {
-		return max(len(n.seen), n.toldNodes-1)
+	if !n.relaying && now.Sub(n.fleetSizeReportedAt) <= contactExpiry {
+		return max(len(n.lastSeen), n.reportedFleetSize-1)
 	}
-	return len(n.seen)
+	return len(n.lastSeen)
 }
 
-// Others returns the loads and doubts of all other nodes. The result is shared; it must not be changed.
+// Others returns the totals of all other nodes. The result is shared and must not be modified.
 func (n *Node) Others(now time.Time) *Totals {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.othersNow(now)
 }
 
-// othersNow is Others with the lock held.
+// othersNow is Others for callers that hold n.mu.
 func (n *Node) othersNow(now time.Time) *Totals {
-	if n.others == nil || now.Sub(n.othersAt) >= viewFor {
-		n.others, n.othersAt = n.sum(now), now
+	if n.others == nil || now.Sub(n.othersAt) >= derivedStateTTL {
+		n.others, n.othersAt = n.sumOthers(now), now
 	}
 	return n.others
 }
 
-// sum adds up what the other nodes have, or takes the word of a relay for it.
-func (n *Node) sum(now time.Time) *Totals {
+// sumOthers returns the totals of the other nodes: those from the upstream relay, or if there is none the sum of what
+// relays and reporters have sent.
+func (n *Node) sumOthers(now time.Time) *Totals {
 	total := NewTotals()
 	if c := n.upstream(now); c != nil {
 		total.Add(&c.peer.Status)
 		return total
 	}
-	for _, c := range n.peers {
-		if !c.wholeFleet && (c.relay(now) || c.reporter(now)) {
+	for _, c := range n.contacts {
+		if !c.wholeFleet && (c.isRelay(now) || c.isReporter(now)) {
 			total.Add(&c.peer.Status)
 		}
 	}
 	return total
 }
 
-// upstream returns the relay whose word for the whole fleet is taken, or nil if this node is a relay.
+// upstream returns the live relay whose totals of the whole fleet are used, or nil if there is none or this node is a
+// relay itself.
 func (n *Node) upstream(now time.Time) *contact {
 	if n.relaying {
 		return nil
 	}
-	for _, address := range n.subscribed {
-		if c := n.peers[address]; c != nil && c.fresh(now) && c.wholeFleet {
+	for _, address := range n.subscribedRelays {
+		if c := n.contacts[address]; c != nil && c.alive(now) && c.wholeFleet {
 			return c
 		}
 	}
