--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -114,14 +114,14 @@
 	lastLog *requestLog // log of the last request
 
 	quarantine *quarantine.Table
-	finding    quarantine.Finding // result of every probe of an endpoint
+	finding    quarantine.ProbeResult // result of every probe of an endpoint
 }
 
 // inquiry returns an Inquiry whose probes of endpoints all return s.finding.
-func (s *testGateway) inquiry(d *endpoint.Directory) *quarantine.Inquiry {
-	return &quarantine.Inquiry{
-		Table: s.quarantine, Directory: d, Noted: func(bool) {}, Logger: log.NewNopLogger(),
-		Ask: func(context.Context, *endpoint.Endpoint) quarantine.Finding { return s.finding },
+func (s *testGateway) inquiry(d *endpoint.Directory) *quarantine.Investigator {
+	return &quarantine.Investigator{
+		Table: s.quarantine, Directory: d, OnEnding: func(bool) {}, Logger: log.NewNopLogger(),
+		Probe: func(context.Context, *endpoint.Endpoint) quarantine.ProbeResult { return s.finding },
 	}
 }
 
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -22,7 +22,7 @@
 	Picker        *picker.Picker
 	// Quarantine holds back requests under which endpoints have ended. Inquiry finds out whether an endpoint has ended.
 	Quarantine *quarantine.Table
-	Inquiry    *quarantine.Inquiry
+	Inquiry    *quarantine.Investigator
 	Limits     retry.Limits
 	Nodes      func() retry.Nodes
 	Story      func(id string) Story // returns the log of a new request
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -41,7 +41,7 @@
 	case verdict.Of(err) == verdict.NotRun:
 		inquiry.Refused(place.Endpoint)
 	case ctx.Err() != nil, errors.Is(err, errHedged), errors.Is(err, errStalled), errors.Is(err, errCallerGone):
-		inquiry.Left(place.Endpoint, f.fingerprint)
+		inquiry.Abandoned(place.Endpoint, f.fingerprint)
 	default:
 		inquiry.Failed(place.Endpoint, f.fingerprint, f.sends > 1)
 	}
--- a/internal/picker/observe.go
+++ b/internal/picker/observe.go
@@ -50,7 +50,7 @@
 
 // RecordLimit records the rate limit announced in the answer to a request that was sent at sent.
 func (p *Place) RecordLimit(l ratelimit.Limit, sent, now time.Time) {
-	p.picker.options.Limits.Said(p.Endpoint.ID, l, sent, now)
+	p.picker.options.Limits.RecordAnswer(p.Endpoint.ID, l, sent, now)
 }
 
 // RecordLeaving records that the endpoint has announced in an answer that it is about to leave.
@@ -132,7 +132,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s.Loads = make(gossip.Loads)
-	p.options.Limits.Learn(p.options.Others(now).Limits, now)
+	p.options.Limits.MergeReports(p.options.Others(now).Limits, now)
 	s.Limits, s.Cold = p.options.Limits.Report(now), p.cold.Report(now)
 	s.Suspects = make(map[string]time.Time)
 	for key, h := range p.health {
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -52,7 +52,7 @@
 	runningByModel     map[string]int
 	arrivals           map[string]*arrivals // arrival rates by model
 	pauses             pauses
-	cold               *ratelimit.Cold
+	cold               *ratelimit.ColdLimiter
 	randomState        uint64
 }
 
@@ -64,7 +64,7 @@
 	return &Picker{
 		options: o, health: make(map[string]*health), runningByWorkspace: make(map[string]int), wasComplete: make(map[string]bool),
 		waitingByModel: make(map[string]int), runningByModel: make(map[string]int), arrivals: make(map[string]*arrivals), pauses: make(pauses),
-		cold: ratelimit.NewCold(clock.Now()),
+		cold: ratelimit.NewColdLimiter(clock.Now()),
 	}
 }
 
@@ -122,7 +122,7 @@
 // also takes a place in the queue of a full replica group.
 func (p *Picker) tryAcquire(w *Want, now time.Time, useQueue bool) (*Place, error) {
 	others := p.options.Others(now)
-	p.options.Limits.Learn(others.Limits, now)
+	p.options.Limits.MergeReports(others.Limits, now)
 	candidates := p.candidates(w, others, now)
 	if len(candidates) == 0 {
 		return nil, ErrNoEndpoint
--- a/internal/quarantine/hold_syncer.go
+++ b/internal/quarantine/hold_syncer.go
@@ -28,17 +28,17 @@
 	isolatedSyncInterval = time.Second
 )
 
-// Keeper maintains the list of held requests in the platform's object store, where it survives the loss of all nodes. The
+// HoldSyncer maintains the list of held requests in the platform's object store, where it survives the loss of all nodes. The
 // leader writes the list when it has changed. Each process reads it once at startup, and a leader again at the beginning of
 // each epoch. Otherwise nodes exchange holds in their heartbeats, whether or not the store is available. A node that hears no
 // other node reads and writes the list as a leader does.
-type Keeper struct {
+type HoldSyncer struct {
 	Table   *Table
 	Objects infra.ObjectStore
 	// Recent lists the objects with a prefix at a lower cost than ObjectStore; the result may be some seconds old.
 	Recent func(ctx context.Context, prefix string) (infra.Listing, error)
-	// Leads returns the epoch in which this node is the leader, or zero if it is not the leader.
-	Leads func(now time.Time) int64
+	// LeaderEpoch returns the epoch in which this node is the leader, or zero if it is not the leader.
+	LeaderEpoch func(now time.Time) int64
 	// Alone reports whether this node hears no other node.
 	Alone  func(now time.Time) bool
 	Logger log.Logger
@@ -60,13 +60,13 @@
 }
 
 // Run maintains the stored list until ctx is done.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *HoldSyncer) Run(ctx context.Context) error {
 	k.restored = k.FirstStart
 	loop.Every(ctx, syncInterval, func(now time.Time) {
 		if !k.restored {
 			k.restored = k.restore(ctx)
 		}
-		if epoch := k.Leads(now); epoch > 0 {
+		if epoch := k.LeaderEpoch(now); epoch > 0 {
 			k.syncList(ctx, epoch)
 		}
 		if k.isIsolated(now) && now.Sub(k.lastIsolatedSync) >= isolatedSyncInterval {
@@ -78,8 +78,8 @@
 }
 
 // isIsolated reports whether this node does not lead and has heard no other node for isolationDelay.
-func (k *Keeper) isIsolated(now time.Time) bool {
-	if k.Leads(now) > 0 || !k.Alone(now) {
+func (k *HoldSyncer) isIsolated(now time.Time) bool {
+	if k.LeaderEpoch(now) > 0 || !k.Alone(now) {
 		k.isolatedSince = time.Time{}
 		return false
 	}
@@ -90,7 +90,7 @@
 }
 
 // restore merges the list left from before a restart, if any, and reports whether the store answered.
-func (k *Keeper) restore(ctx context.Context) bool {
+func (k *HoldSyncer) restore(ctx context.Context) bool {
 	l, err := k.Recent(ctx, keys.Quarantine)
 	if err != nil {
 		return false
@@ -104,7 +104,7 @@
 }
 
 // mergeObject merges a stored list into the table.
-func (k *Keeper) mergeObject(o infra.Object) {
+func (k *HoldSyncer) mergeObject(o infra.Object) {
 	records, err := ParseStoredList(o.Value, clock.Now())
 	if err != nil {
 		_ = level.Error(k.Logger).Log("msg", "stored list of held requests is unreadable and will be replaced", "key", o.Key, "err", err)
@@ -114,7 +114,7 @@
 }
 
 // syncList reads the list at the beginning of an epoch, or every time if epoch is zero, and writes it if it has changed.
-func (k *Keeper) syncList(ctx context.Context, epoch int64) {
+func (k *HoldSyncer) syncList(ctx context.Context, epoch int64) {
 	if (epoch == 0 || k.loadedEpoch != epoch) && !k.load(ctx) {
 		return
 	}
@@ -138,7 +138,7 @@
 }
 
 // load reads the list and reports whether the store answered.
-func (k *Keeper) load(ctx context.Context) bool {
+func (k *HoldSyncer) load(ctx context.Context) bool {
 	o, err := k.Objects.Get(ctx, keys.Held)
 	k.written = nil
 	switch {
@@ -169,7 +169,7 @@
 }
 
 // differsFromStore reports whether the holds differ from those in the stored list by more than holdTolerance.
-func (k *Keeper) differsFromStore(holds []Record, now time.Time) bool {
+func (k *HoldSyncer) differsFromStore(holds []Record, now time.Time) bool {
 	removed := maps.Clone(k.written)
 	for _, r := range holds {
 		w, known := k.written[r.Fingerprint]
--- a/internal/quarantine/hold_syncer_test.go
+++ b/internal/quarantine/hold_syncer_test.go
@@ -80,13 +80,13 @@
 	return infra.Applied, s.object.Version, nil
 }
 
-// runKeeper runs a Keeper while it calls the functions in during, and for d after that. The Keeper leads in the given epoch,
+// runHoldSyncer runs a Keeper while it calls the functions in during, and for d after that. The Keeper leads in the given epoch,
 // or not at all if it is zero.
-func (s *store) runKeeper(table *quarantine.Table, epoch int64, d time.Duration, during ...func()) {
+func (s *store) runHoldSyncer(table *quarantine.Table, epoch int64, d time.Duration, during ...func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	k := &quarantine.Keeper{
-		Table: table, Objects: s, Recent: s.listRecent, Leads: func(time.Time) int64 { return epoch }, Alone: func(time.Time) bool { return s.isolated }, Logger: log.NewNopLogger(),
+	k := &quarantine.HoldSyncer{
+		Table: table, Objects: s, Recent: s.listRecent, LeaderEpoch: func(time.Time) int64 { return epoch }, Alone: func(time.Time) bool { return s.isolated }, Logger: log.NewNopLogger(),
 	}
 	go func() { _ = k.Run(ctx) }()
 	for _, do := range during {
@@ -101,10 +101,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		table := quarantine.NewTable()
-		s.runKeeper(table, 1, 2*time.Second, func() { recordEndings(table, 1, 3, poison) })
+		s.runHoldSyncer(table, 1, 2*time.Second, func() { recordEndings(table, 1, 3, poison) })
 		qt.Check(t, s.writes, qt.Equals, 1)
 		restarted := quarantine.NewTable()
-		s.runKeeper(restarted, 0, time.Second)
+		s.runHoldSyncer(restarted, 0, time.Second)
 		qt.Check(t, isHeld(restarted, poison), qt.IsTrue)
 		qt.Check(t, s.writes, qt.Equals, 1, qt.Commentf("a node that does not lead writes nothing"))
 	})
@@ -114,7 +114,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		table := quarantine.NewTable()
-		s.runKeeper(table, 1, time.Minute, func() { recordEndings(table, 1, 2, poison) })
+		s.runHoldSyncer(table, 1, time.Minute, func() { recordEndings(table, 1, 2, poison) })
 		qt.Check(t, s.writes, qt.Equals, 0)
 		qt.Check(t, s.reads, qt.Equals, 2, qt.Commentf("once at startup, and once for the epoch"))
 	})
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{unavailable: true}
 		first := quarantine.NewTable()
-		s.runKeeper(first, 1, 5*time.Second, func() {
+		s.runHoldSyncer(first, 1, 5*time.Second, func() {
 			recordEndings(first, 1, 3, poison)
 			time.Sleep(3 * time.Second)
 			s.mu.Lock()
@@ -133,7 +133,7 @@
 		})
 		qt.Check(t, s.object.Version, qt.Equals, int64(1), qt.Commentf("a write whose reply was lost is detected by reading"))
 		second := quarantine.NewTable()
-		s.runKeeper(second, 2, 2*time.Second, func() { recordEndings(second, 5, 7, other) })
+		s.runHoldSyncer(second, 2, 2*time.Second, func() { recordEndings(second, 5, 7, other) })
 		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, records, qt.HasLen, 2, qt.Commentf("a new leader keeps the holds written by an earlier one"))
@@ -144,7 +144,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{object: infra.Object{Key: keys.Held, Version: 4, Value: []byte(`{"requests":"none"}`)}}
 		table := quarantine.NewTable()
-		s.runKeeper(table, 1, 2*time.Minute, func() { recordEndings(table, 1, 3, poison) })
+		s.runHoldSyncer(table, 1, 2*time.Minute, func() { recordEndings(table, 1, 3, poison) })
 		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, records, qt.HasLen, 0)
@@ -157,9 +157,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
 		others, isolated := quarantine.NewTable(), quarantine.NewTable()
-		s.runKeeper(others, 1, time.Second, func() { recordEndings(others, 1, 3, poison) })
+		s.runHoldSyncer(others, 1, time.Second, func() { recordEndings(others, 1, 3, poison) })
 		s.isolated = true
-		s.runKeeper(isolated, 0, 5*time.Second, func() { recordEndings(isolated, 5, 7, other) })
+		s.runHoldSyncer(isolated, 0, 5*time.Second, func() { recordEndings(isolated, 5, 7, other) })
 		qt.Check(t, isHeld(isolated, poison), qt.IsTrue)
 		qt.Check(t, s.reads < 10, qt.IsTrue, qt.Commentf("%d reads", s.reads))
 		records, err := quarantine.ParseStoredList(s.object.Value, time.Now())
--- a/internal/quarantine/investigator.go
+++ b/internal/quarantine/investigator.go
@@ -29,18 +29,18 @@
 	maxLoggedFingerprints = 20
 )
 
-// Inquiry determines why connections to endpoints broke. An ending counts against the requests that the endpoint was running
+// Investigator determines why connections to endpoints broke. An ending counts against the requests that the endpoint was running
 // only if there is no other known cause: the endpoint was not draining, and its fabric domain is up. An endpoint that does
 // not answer at all is not assumed to have ended.
-type Inquiry struct {
+type Investigator struct {
 	Table     *Table
 	Directory *endpoint.Directory
-	// Ask probes whether an endpoint is alive.
-	Ask func(ctx context.Context, e *endpoint.Endpoint) Finding
-	// Noted is called after an ending has been recorded. held reports whether a request is newly held back because of it, in
-	// which case the other nodes must be told at once. Noted must not block.
-	Noted  func(held bool)
-	Logger log.Logger
+	// Probe probes whether an endpoint is alive.
+	Probe func(ctx context.Context, e *endpoint.Endpoint) ProbeResult
+	// OnEnding is called after an ending has been recorded. held reports whether a request is newly held back because of it, in
+	// which case the other nodes must be told at once. OnEnding must not block.
+	OnEnding func(held bool)
+	Logger   log.Logger
 
 	mu             sync.Mutex
 	investigations map[uint32]*investigation     // by lifeHash of the endpoint
@@ -55,7 +55,7 @@
 
 // Failed reports that the connection to an endpoint broke while the endpoint had the request. resent means that the request
 // was sent to this endpoint after another endpoint had failed it.
-func (q *Inquiry) Failed(e *endpoint.Endpoint, f Fingerprint, resent bool) {
+func (q *Investigator) Failed(e *endpoint.Endpoint, f Fingerprint, resent bool) {
 	now := clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -72,8 +72,8 @@
 	}
 }
 
-// Left reports that the request was abandoned while the endpoint had it.
-func (q *Inquiry) Left(e *endpoint.Endpoint, f Fingerprint) {
+// Abandoned reports that the request was abandoned while the endpoint had it.
+func (q *Investigator) Abandoned(e *endpoint.Endpoint, f Fingerprint) {
 	now := clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -89,7 +89,7 @@
 
 // Refused reports that the endpoint refused a connection. It starts an investigation only if the endpoint had abandoned
 // requests; the connections of all other requests break, which Failed reports.
-func (q *Inquiry) Refused(e *endpoint.Endpoint) {
+func (q *Investigator) Refused(e *endpoint.Endpoint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.recentlyAbandoned(e.ID, clock.Now())) > 0 && q.investigations[lifeHash(e)] == nil {
@@ -98,7 +98,7 @@
 }
 
 // Sweep removes abandoned requests and investigations that have expired.
-func (q *Inquiry) Sweep(now time.Time) {
+func (q *Investigator) Sweep(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for id := range q.abandoned {
@@ -114,12 +114,12 @@
 }
 
 // recentlyAbandoned returns the requests abandoned at an endpoint within abandonedTTL. The caller holds q.mu.
-func (q *Inquiry) recentlyAbandoned(id string, now time.Time) []abandonedRequest {
+func (q *Investigator) recentlyAbandoned(id string, now time.Time) []abandonedRequest {
 	return slices.DeleteFunc(slices.Clone(q.abandoned[id]), func(l abandonedRequest) bool { return now.Sub(l.at) > abandonedTTL })
 }
 
 // investigate starts an investigation of an endpoint. The caller holds q.mu.
-func (q *Inquiry) investigate(e *endpoint.Endpoint) *investigation {
+func (q *Investigator) investigate(e *endpoint.Endpoint) *investigation {
 	if q.investigations == nil {
 		q.investigations = make(map[uint32]*investigation)
 	}
@@ -130,7 +130,7 @@
 }
 
 // recordEnding records the ending against the requests and reports whether any of them is newly held back.
-func (q *Inquiry) recordEnding(e *endpoint.Endpoint, o *investigation, noticed, now time.Time) bool {
+func (q *Investigator) recordEnding(e *endpoint.Endpoint, o *investigation, noticed, now time.Time) bool {
 	ending := EndingOf(e, noticed)
 	held := q.Table.Ended(ending, o.requests, now)
 	return q.Table.Ended(ending.asSeparateIncident(), o.resent, now) || held
@@ -138,7 +138,7 @@
 
 // conclude determines the cause and, if the endpoint ended for no other known reason, records the ending against its
 // requests. noticed is when the first connection failed.
-func (q *Inquiry) conclude(e *endpoint.Endpoint, noticed time.Time) {
+func (q *Investigator) conclude(e *endpoint.Endpoint, noticed time.Time) {
 	cause := q.findCause(e)
 	now := clock.Now()
 	q.mu.Lock()
@@ -156,18 +156,18 @@
 	q.mu.Unlock()
 	q.logCause(e, cause, slices.Concat(affected.requests, affected.resent))
 	if cause == endedAlone {
-		q.Noted(q.recordEnding(e, affected, noticed, now))
+		q.OnEnding(q.recordEnding(e, affected, noticed, now))
 	}
 }
 
 // logCause logs the cause of an endpoint's ending.
-func (q *Inquiry) logCause(e *endpoint.Endpoint, cause endCause, requests []Fingerprint) {
+func (q *Investigator) logCause(e *endpoint.Endpoint, cause endCause, requests []Fingerprint) {
 	_ = level.Info(q.Logger).Log("msg", "endpoint ended", "endpoint", e.ID, "domain", e.Domain, "finding", string(cause),
 		"requests", len(requests), "fingerprints", requests[:min(len(requests), maxLoggedFingerprints)])
 }
 
 // findCause probes the endpoint and a sample of its neighbours.
-func (q *Inquiry) findCause(e *endpoint.Endpoint) endCause {
+func (q *Investigator) findCause(e *endpoint.Endpoint) endCause {
 	if q.probe(e) != Ended {
 		return noEndFound
 	}
@@ -182,15 +182,15 @@
 	return endedAlone
 }
 
-func (q *Inquiry) probe(e *endpoint.Endpoint) Finding {
+func (q *Investigator) probe(e *endpoint.Endpoint) ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return q.Ask(ctx, e)
+	return q.Probe(ctx, e)
 }
 
 // sampleNeighbours returns random endpoints of e's fabric domain or, if e is in none, of its data centre. Endpoints that this
 // node is investigating or has found to have ended come last, because they tell nothing new about the domain.
-func (q *Inquiry) sampleNeighbours(s *endpoint.Snapshot, e *endpoint.Endpoint) []*endpoint.Endpoint {
+func (q *Investigator) sampleNeighbours(s *endpoint.Snapshot, e *endpoint.Endpoint) []*endpoint.Endpoint {
 	var out, ended []*endpoint.Endpoint
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/quarantine/investigator_test.go
+++ b/internal/quarantine/investigator_test.go
@@ -17,26 +17,26 @@
 
 // domain is a fabric domain whose endpoints answer probes.
 type domain struct {
-	quarantine.Inquiry
+	quarantine.Investigator
 
 	mu        sync.Mutex
-	findings  map[string]quarantine.Finding // by endpoint id; endpoints without an entry are alive
+	findings  map[string]quarantine.ProbeResult // by endpoint id; endpoints without an entry are alive
 	probes    int
 	endpoints []*endpoint.Endpoint
 }
 
 func newDomain(name string, size int) *domain {
-	d := &domain{findings: make(map[string]quarantine.Finding)}
+	d := &domain{findings: make(map[string]quarantine.ProbeResult)}
 	directory := endpoint.NewDirectory(time.Second)
 	for i := range size {
 		d.endpoints = append(d.endpoints, &endpoint.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Zone: "z", Domain: name})
 	}
 	directory.Apply(d.endpoints, nil, time.Now())
-	d.Inquiry = quarantine.Inquiry{Table: quarantine.NewTable(), Directory: directory, Ask: d.ask, Noted: func(bool) {}, Logger: log.NewNopLogger()}
+	d.Investigator = quarantine.Investigator{Table: quarantine.NewTable(), Directory: directory, Probe: d.ask, OnEnding: func(bool) {}, Logger: log.NewNopLogger()}
 	return d
 }
 
-func (d *domain) ask(_ context.Context, e *endpoint.Endpoint) quarantine.Finding {
+func (d *domain) ask(_ context.Context, e *endpoint.Endpoint) quarantine.ProbeResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.probes++
@@ -47,7 +47,7 @@
 }
 
 // setFinding sets the result of probing the given endpoints.
-func (d *domain) setFinding(found quarantine.Finding, which ...int) {
+func (d *domain) setFinding(found quarantine.ProbeResult, which ...int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, i := range which {
@@ -155,7 +155,7 @@
 func TestEndingCountsAgainstRecentlyAbandonedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDomain("d", 5)
-		d.Left(d.endpoints[0], poison)
+		d.Abandoned(d.endpoints[0], poison)
 		d.Refused(d.endpoints[1])
 		qt.Check(t, d.endings(poison), qt.Equals, 0)
 		qt.Check(t, d.probes, qt.Equals, 0, qt.Commentf("no request was abandoned at that endpoint"))
@@ -163,7 +163,7 @@
 		d.setFinding(quarantine.Ended, 0)
 		d.Refused(d.endpoints[0])
 		qt.Check(t, d.endings(poison), qt.Equals, 1)
-		d.Left(d.endpoints[1], other)
+		d.Abandoned(d.endpoints[1], other)
 		time.Sleep(5 * time.Second)
 		d.setFinding(quarantine.Ended, 1)
 		d.Refused(d.endpoints[1])
--- a/internal/ratelimit/cold.go
+++ b/internal/ratelimit/cold.go
@@ -17,9 +17,9 @@
 	peerCountsDelay = time.Second
 )
 
-// Cold keeps all nodes together within the request rate that endpoints can take shortly after their start. It works like
+// ColdLimiter keeps all nodes together within the request rate that endpoints can take shortly after their start. It works like
 // Table, but the rate comes from the configuration.
-type Cold struct {
+type ColdLimiter struct {
 	start time.Time
 
 	mu        sync.Mutex
@@ -33,13 +33,13 @@
 	roundingDraw   float64   // random number in [0, 1) that decides how a fractional share is rounded
 }
 
-// NewCold returns a Cold without endpoints. Times passed to its methods must not be before start.
-func NewCold(start time.Time) *Cold {
-	return &Cold{start: start, endpoints: make(map[gossip.EndpointKey]*coldEndpoint)}
+// NewColdLimiter returns a Cold without endpoints. Times passed to its methods must not be before start.
+func NewColdLimiter(start time.Time) *ColdLimiter {
+	return &ColdLimiter{start: start, endpoints: make(map[gossip.EndpointKey]*coldEndpoint)}
 }
 
 // Admit reports whether a request may be sent to a cold endpoint that takes perSecond requests per second, and counts it.
-func (c *Cold) Admit(endpoint string, perSecond float64, others *gossip.Totals, now time.Time) bool {
+func (c *ColdLimiter) Admit(endpoint string, perSecond float64, others *gossip.Totals, now time.Time) bool {
 	key := gossip.KeyOf(endpoint)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 }
 
 // Report returns this node's counts for the other nodes.
-func (c *Cold) Report(now time.Time) gossip.RateLimits {
+func (c *ColdLimiter) Report(now time.Time) gossip.RateLimits {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out gossip.RateLimits
@@ -84,7 +84,7 @@
 }
 
 // Sweep removes endpoints for which no request was counted within coldWindow.
-func (c *Cold) Sweep(now time.Time) {
+func (c *ColdLimiter) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, e := range c.endpoints {
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -30,8 +30,8 @@
 
 // Table holds the limits of endpoints that one node knows, and what it has sent to endpoints.
 type Table struct {
-	// Changed is called when an endpoint's answer changes or removes its limit; it must not block. It may be nil.
-	Changed func(endpoint string, l Limit)
+	// OnChange is called when an endpoint's answer changes or removes its limit; it must not block. It may be nil.
+	OnChange func(endpoint string, l Limit)
 
 	// Draw returns a random number in [0, 1).
 	Draw func() float64
@@ -58,11 +58,11 @@
 	return &Table{Draw: rand.Float64, start: start, limits: make(map[gossip.EndpointKey]*entry), sent: make(map[gossip.EndpointKey]*window.Counter)}
 }
 
-// Said records the limit in an endpoint's answer to a request that was sent at time sent. An answer without a limit is ignored
+// RecordAnswer records the limit in an endpoint's answer to a request that was sent at time sent. An answer without a limit is ignored
 // if its request was sent before the limit was last named.
-func (t *Table) Said(endpoint string, l Limit, sent, now time.Time) {
-	if t.observe(gossip.KeyOf(endpoint), l, sent, now) && t.Changed != nil {
-		t.Changed(endpoint, l)
+func (t *Table) RecordAnswer(endpoint string, l Limit, sent, now time.Time) {
+	if t.observe(gossip.KeyOf(endpoint), l, sent, now) && t.OnChange != nil {
+		t.OnChange(endpoint, l)
 	}
 }
 
@@ -103,8 +103,8 @@
 	return c
 }
 
-// Learn merges limits reported by other nodes.
-func (t *Table) Learn(others gossip.RateLimits, now time.Time) {
+// MergeReports merges limits reported by other nodes.
+func (t *Table) MergeReports(others gossip.RateLimits, now time.Time) {
 	if len(others) == 0 {
 		return
 	}
@@ -177,8 +177,8 @@
 	return Limit{}
 }
 
-// Named returns the number of endpoints that name a limit.
-func (t *Table) Named() int {
+// CountNamed returns the number of endpoints that name a limit.
+func (t *Table) CountNamed() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -20,28 +20,28 @@
 func TestLimitAppliesWhileAnswersNameIt(t *testing.T) {
 	table := ratelimit.NewTable(origin)
 	var changes []ratelimit.Limit
-	table.Changed = func(_ string, l ratelimit.Limit) { changes = append(changes, l) }
+	table.OnChange = func(_ string, l ratelimit.Limit) { changes = append(changes, l) }
 	twoPerSecond := ratelimit.Limit{PerSecond: 2, Named: true}
-	table.Said("a", ratelimit.Limit{}, at(0), at(0))
-	qt.Check(t, table.Named(), qt.Equals, 0)
-	table.Said("a", twoPerSecond, at(1), at(2))
-	table.Said("a", twoPerSecond, at(2), at(3))
+	table.RecordAnswer("a", ratelimit.Limit{}, at(0), at(0))
+	qt.Check(t, table.CountNamed(), qt.Equals, 0)
+	table.RecordAnswer("a", twoPerSecond, at(1), at(2))
+	table.RecordAnswer("a", twoPerSecond, at(2), at(3))
 	qt.Check(t, table.Limit("a"), qt.Equals, twoPerSecond)
-	table.Said("a", ratelimit.Limit{}, at(2.5), at(4))
+	table.RecordAnswer("a", ratelimit.Limit{}, at(2.5), at(4))
 	qt.Check(t, table.Limit("a"), qt.Equals, twoPerSecond, qt.Commentf("the answered request may have been sent before the limit was named"))
-	table.Said("a", ratelimit.Limit{}, at(3.5), at(5))
+	table.RecordAnswer("a", ratelimit.Limit{}, at(3.5), at(5))
 	qt.Check(t, table.Limit("a"), qt.Equals, ratelimit.Limit{})
-	qt.Check(t, table.Named(), qt.Equals, 0)
+	qt.Check(t, table.CountNamed(), qt.Equals, 0)
 	qt.Check(t, changes, qt.DeepEquals, []ratelimit.Limit{twoPerSecond, {}})
 }
 
 func TestLimitOfSilentEndpointExpires(t *testing.T) {
 	table := ratelimit.NewTable(origin)
-	table.Said("a", ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
+	table.RecordAnswer("a", ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
 	table.Sweep(at(59))
-	qt.Check(t, table.Named(), qt.Equals, 1)
+	qt.Check(t, table.CountNamed(), qt.Equals, 1)
 	table.Sweep(at(61))
-	qt.Check(t, table.Named(), qt.Equals, 0)
+	qt.Check(t, table.CountNamed(), qt.Equals, 0)
 }
 
 // fleet is a set of nodes that send to one endpoint and receive each other's reports with a delay.
@@ -73,7 +73,7 @@
 func (f *fleet) exchangeReports(now time.Time) {
 	var reports []gossip.RateLimits
 	for node, t := range f.tables {
-		t.Learn(f.others(node), now)
+		t.MergeReports(f.others(node), now)
 		reports = append(reports, t.Report(now))
 	}
 	f.reports = append(f.reports, reports)
@@ -118,7 +118,7 @@
 			}
 			sent = append(sent, now)
 			if now >= limitStart {
-				f.tables[node].Said(endpoint, limit, origin.Add(now), origin.Add(now))
+				f.tables[node].RecordAnswer(endpoint, limit, origin.Add(now), origin.Add(now))
 			}
 		}
 		allowed := int(1.5*limit.PerSecond*window.Seconds()) + 5
@@ -136,7 +136,7 @@
 
 func TestSingleNodeCanUseTheLimit(t *testing.T) {
 	f := &fleet{tables: []*ratelimit.Table{ratelimit.NewTable(origin), ratelimit.NewTable(origin), ratelimit.NewTable(origin)}}
-	f.tables[0].Said(endpoint, ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
+	f.tables[0].RecordAnswer(endpoint, ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
 	sent := 0
 	for now := 0.0; now < 60; now += 0.1 {
 		f.exchangeReports(at(now))
@@ -151,22 +151,22 @@
 func TestOneRequestIsAdmittedToDetectEndOfLimit(t *testing.T) {
 	table := ratelimit.NewTable(origin)
 	table.Draw = func() float64 { return 0 }
-	table.Said(endpoint, ratelimit.Limit{Named: true}, at(0), at(0))
+	table.RecordAnswer(endpoint, ratelimit.Limit{Named: true}, at(0), at(0))
 	qt.Check(t, table.Admit(endpoint, nil, at(0.5)), qt.IsFalse, qt.Commentf("counts of the other nodes may not have arrived yet"))
 	qt.Check(t, table.Admit(endpoint, nil, at(2)), qt.IsTrue)
 	qt.Check(t, table.Admit(endpoint, nil, at(3)), qt.IsFalse)
-	table.Said(endpoint, ratelimit.Limit{}, at(2), at(3))
+	table.RecordAnswer(endpoint, ratelimit.Limit{}, at(2), at(3))
 	qt.Check(t, table.Admit(endpoint, nil, at(3)), qt.IsTrue)
 }
 
 // Guards against heartbeats that report ended limits forever.
 func TestEndOfLimitIsReportedForBoundedTime(t *testing.T) {
 	table := ratelimit.NewTable(origin)
-	table.Said(endpoint, ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
-	table.Said(endpoint, ratelimit.Limit{}, at(1), at(2))
+	table.RecordAnswer(endpoint, ratelimit.Limit{PerSecond: 2, Named: true}, at(0), at(0))
+	table.RecordAnswer(endpoint, ratelimit.Limit{}, at(1), at(2))
 	qt.Check(t, table.Report(at(3)), qt.HasLen, 1)
 	for now := 3.0; now < 10; now++ {
-		table.Said(endpoint, ratelimit.Limit{}, at(now), at(now))
+		table.RecordAnswer(endpoint, ratelimit.Limit{}, at(now), at(now))
 	}
 	qt.Check(t, table.Report(at(10)), qt.HasLen, 0)
 }
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -62,7 +62,7 @@
 		s.Gauge("groups").Update(float64(len(snapshot.Groups)))
 		s.Gauge("groups_open").Update(float64(open))
 		s.Gauge("endpoints_pausing").Update(float64(n.picker.Pausing(now)))
-		s.Gauge("endpoints_limited").Update(float64(n.rates.Named()))
+		s.Gauge("endpoints_limited").Update(float64(n.rates.CountNamed()))
 		s.Gauge("endpoints").Update(float64(len(snapshot.Endpoints)))
 		status := n.ownStatus(now)
 		demand := gossip.Sum(status.Demands)
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -17,24 +17,24 @@
 	n.quarantine.OnHeld = n.logHeld
 	n.gossip.Quarantine = n.quarantine
 	endings := n.scope.Counter("endpoint_endings")
-	n.inquiry = &quarantine.Inquiry{
-		Table: n.quarantine, Directory: n.directory, Ask: n.probeEndpoint, Logger: n.logger,
-		Noted: func(held bool) {
+	n.inquiry = &quarantine.Investigator{
+		Table: n.quarantine, Directory: n.directory, Probe: n.probeEndpoint, Logger: n.logger,
+		OnEnding: func(held bool) {
 			endings.Inc(1)
 			if held {
 				n.gossip.Kick()
 			}
 		},
 	}
-	n.quarantineKeeper = &quarantine.Keeper{
+	n.quarantineKeeper = &quarantine.HoldSyncer{
 		Table: n.quarantine, Objects: n.platform.Objects, Recent: n.platform.Recent, Logger: n.logger, FirstStart: n.settings.FirstStart,
-		Leads: func(now time.Time) int64 { return n.controller.Leads(now) },
-		Alone: func(now time.Time) bool { return len(n.gossip.Live(now)) == 0 },
+		LeaderEpoch: func(now time.Time) int64 { return n.controller.Leads(now) },
+		Alone:       func(now time.Time) bool { return len(n.gossip.Live(now)) == 0 },
 	}
 }
 
 // probeEndpoint asks an endpoint whether it is alive.
-func (n *Server) probeEndpoint(ctx context.Context, e *endpoint.Endpoint) quarantine.Finding {
+func (n *Server) probeEndpoint(ctx context.Context, e *endpoint.Endpoint) quarantine.ProbeResult {
 	switch answer := n.platform.Engine.Ask(ctx, e); {
 	case answer.Heard():
 		return quarantine.Alive
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -68,8 +68,8 @@
 	picker              *picker.Picker
 	gateway             *gateway.Gateway
 	quarantine          *quarantine.Table
-	inquiry             *quarantine.Inquiry
-	quarantineKeeper    *quarantine.Keeper
+	inquiry             *quarantine.Investigator
+	quarantineKeeper    *quarantine.HoldSyncer
 	rpc                 *gossip.Server
 	reporter            *metrics.Reporter
 	scope               tally.Scope
@@ -137,7 +137,7 @@
 	n.gossip.OnSent = newBeatCounter(n.scope)
 	n.rpc = gossip.NewServer(self.Incarnation, n.follower.Mirror, n.probeForPeer)
 	n.rates = ratelimit.NewTable(n.started)
-	n.rates.Changed = n.limitChanged
+	n.rates.OnChange = n.limitChanged
 	n.picker = picker.New(picker.Options{
 		Limits: n.rates, Zone: s.DataCentre, Directory: n.directory, Others: n.gossip.Others, Retiring: n.retiring, Lost: n.lost, Doubted: n.gossip.Kick,
 	})
--- a/test/bench/limits.go
+++ b/test/bench/limits.go
@@ -148,7 +148,7 @@
 			told.Add(&gossip.Status{Limits: r})
 		}
 		for _, t := range c.tables {
-			t.Learn(told.Limits, now)
+			t.MergeReports(told.Limits, now)
 		}
 	}
 }
@@ -167,6 +167,6 @@
 	if !t.Admit(endpoint, others.Limits, now) {
 		return false
 	}
-	t.Said(endpoint, ratelimit.Limit{PerSecond: perSecond, Named: named}, now, now)
+	t.RecordAnswer(endpoint, ratelimit.Limit{PerSecond: perSecond, Named: named}, now, now)
 	return true
 }
