--- a/internal/formation/busy_test.go
+++ b/internal/formation/busy_test.go
@@ -216,7 +216,7 @@
 	head.Draining = true
 	p, v := s.newSettledPlanner(), s.view()
 	p.retire(v, "a", 1, head, "a member is leaving", 0)
-	p.RecordOutcome(Order{Kind: Leave, Endpoint: head, Group: "a", Epoch: 1}, Elsewhere, s.now)
+	p.RecordOutcome(Order{Kind: Leave, Endpoint: head, Group: "a", Epoch: 1}, WrongEndpoint, s.now)
 	v.Contacts = map[string]Contact{head.ID: {FailedSince: s.now.Add(-time.Second), Refused: true}}
 	p.Step(v)
 	qt.Check(t, p.Retiring(), qt.DeepEquals, []string{"a"})
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -19,8 +19,8 @@
 
 const (
 	stepInterval = 60 * time.Millisecond
-	// FreshEnough is the maximum age of the copy of the endpoint list for decisions.
-	FreshEnough = 2500 * time.Millisecond
+	// MaxListAge is the maximum age of the copy of the endpoint list for decisions.
+	MaxListAge = 2500 * time.Millisecond
 	// storeOutageAfter is the age of the copy from which the store counts as unavailable. It is less than the age from
 	// which package follow holds removals back.
 	storeOutageAfter = 2 * time.Second
@@ -117,8 +117,8 @@
 	added := hasNew(c.Retiring(), retiring) || hasNew(c.Lost(), lost)
 	c.retiring.Store(&retiring)
 	c.lost.Store(&lost)
-	if added && c.Told != nil {
-		c.Told()
+	if added && c.OnGroupsAdded != nil {
+		c.OnGroupsAdded()
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	defer c.publishGroups()
 	c.trackListAge(now)
-	if !ok || table == nil || now.Sub(c.Listed()) > FreshEnough || until.Sub(now) < orderTimeout {
+	if !ok || table == nil || now.Sub(c.ListedAsOf()) > MaxListAge || until.Sub(now) < orderTimeout {
 		return
 	}
 	for _, s := range table.Engines() {
@@ -167,7 +167,7 @@
 // trackListAge updates currentSince from the age of the copy of the endpoint list.
 func (c *Controller) trackListAge(now time.Time) {
 	switch {
-	case now.Sub(c.Current()) > storeOutageAfter:
+	case now.Sub(c.CurrentAsOf()) > storeOutageAfter:
 		c.currentSince = time.Time{}
 	case c.currentSince.IsZero():
 		c.currentSince = now
@@ -180,7 +180,7 @@
 
 func (c *Controller) view(s *route.Service, now time.Time) *View {
 	v := &View{
-		Now: now, CurrentAt: c.Listed(), CurrentSince: c.currentSince, WriteInterval: c.Beat, Service: s, Snapshot: c.Directory.Read(), Contacts: make(map[string]Contact),
+		Now: now, CurrentAt: c.ListedAsOf(), CurrentSince: c.currentSince, WriteInterval: c.WriteInterval, Service: s, Snapshot: c.Directory.Read(), Contacts: make(map[string]Contact),
 		Loads: make(map[string]int), SuspectGroups: make(map[string]bool), Demand: make(map[string]int),
 		Mixes: make(map[string]engine.Mix),
 	}
@@ -188,8 +188,8 @@
 		v.Contacts[id] = k.Contact
 	}
 	total := gossip.NewTotals()
-	total.AddTotals(c.Others(now))
-	own := c.Own(now)
+	total.AddTotals(c.PeerTotals(now))
+	own := c.OwnStatus(now)
 	total.Add(&own)
 	for id := range v.Snapshot.Endpoints {
 		if n := total.Loads.At(id); n > 0 {
@@ -263,10 +263,10 @@
 	switch answer {
 	case Answered, AnsweredBusy:
 		k.Contact = Contact{LastAnswer: sent, Busy: answer == AnsweredBusy}
-	case NobodyThere:
+	case Absent:
 		k.Refused = true
 		k.recordFailure(sent)
-	case Silent:
+	case NoAnswer:
 		k.recordFailure(sent)
 		k.recordUnheard(unheard, sent)
 	}
@@ -279,15 +279,15 @@
 
 // probeWithPeers probes an endpoint and, if the answer is late, asks the other nodes whether they can reach it. unheard
 // reports that neither this node nor any node asked could.
-func (c *Controller) probeWithPeers(ctx context.Context, e *endpoint.Endpoint) (answer Answer, unheard bool) {
+func (c *Controller) probeWithPeers(ctx context.Context, e *endpoint.Endpoint) (answer ProbeResult, unheard bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	heard := make(chan bool, 1)
-	peerProbe := time.AfterFunc(peerProbeDelay, func() { heard <- c.Heard(ctx, e) })
+	peerProbe := time.AfterFunc(peerProbeDelay, func() { heard <- c.ReachableByPeers(ctx, e) })
 	defer peerProbe.Stop()
 	probeCtx, done := context.WithTimeout(ctx, probeTimeout)
 	defer done()
-	if answer = c.Engine.Ask(probeCtx, e); answer != Silent {
+	if answer = c.Engine.Probe(probeCtx, e); answer != NoAnswer {
 		return answer, false
 	}
 	return answer, !<-heard
--- a/internal/formation/controller_test.go
+++ b/internal/formation/controller_test.go
@@ -22,7 +22,7 @@
 	orders []Order
 }
 
-func (f *fakeEngine) Ask(context.Context, *endpoint.Endpoint) Answer { return Answered }
+func (f *fakeEngine) Probe(context.Context, *endpoint.Endpoint) ProbeResult { return Answered }
 func (f *fakeEngine) Order(_ context.Context, o Order) Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,16 +52,16 @@
 	table := route.NewTable(1, 1, nil, []*route.Service{testService()})
 	return NewController(Options{
 		Engine: e, Directory: d, Table: func() *route.Table { return table }, Lease: lease,
-		Current: func() time.Time { return origin.Add(time.Hour) }, Listed: func() time.Time { return origin.Add(time.Hour) },
-		Others: func(time.Time) *gossip.Totals { return gossip.NewTotals() }, Own: func(time.Time) gossip.Status { return gossip.Status{} },
-		Busy: func() bool { return false }, Heard: func(context.Context, *endpoint.Endpoint) bool { return true }, Logger: log.NewNopLogger(),
+		CurrentAsOf: func() time.Time { return origin.Add(time.Hour) }, ListedAsOf: func() time.Time { return origin.Add(time.Hour) },
+		PeerTotals: func(time.Time) *gossip.Totals { return gossip.NewTotals() }, OwnStatus: func(time.Time) gossip.Status { return gossip.Status{} },
+		Busy: func() bool { return false }, ReachableByPeers: func(context.Context, *endpoint.Endpoint) bool { return true }, Logger: log.NewNopLogger(),
 	})
 }
 
 func TestCurrentSinceIsResetWhenTheListGetsOld(t *testing.T) {
 	current := origin
 	c := newTestController(&fakeEngine{}, func(time.Time) (int64, time.Time, bool) { return 0, time.Time{}, false })
-	c.Current = func() time.Time { return current }
+	c.CurrentAsOf = func() time.Time { return current }
 	c.step(context.Background(), origin)
 	qt.Check(t, c.currentSince, qt.Equals, origin)
 	c.step(context.Background(), origin.Add(storeOutageAfter))
@@ -110,8 +110,8 @@
 	e := &fakeEngine{}
 	c := newTestController(e, func(time.Time) (int64, time.Time, bool) { return 1, time.Now().Add(time.Hour), true })
 	listed := time.Time{}
-	c.Listed = func() time.Time { return listed }
-	c.Current = time.Now
+	c.ListedAsOf = func() time.Time { return listed }
+	c.CurrentAsOf = time.Now
 	runSteps := func() {
 		for now := origin; now.Before(origin.Add(2 * gatherTimeout)); now = now.Add(tick) {
 			c.step(context.Background(), now)
@@ -144,11 +144,14 @@
 	s.mu.Unlock()
 }
 
-func (s *slowEngine) Ask(context.Context, *endpoint.Endpoint) Answer {
+func (s *slowEngine) Probe(context.Context, *endpoint.Endpoint) ProbeResult {
 	s.simulateCall(&s.probes)
 	return Answered
 }
-func (s *slowEngine) Order(context.Context, Order) Outcome { s.simulateCall(&s.orders); return Taken }
+func (s *slowEngine) Order(context.Context, Order) Outcome {
+	s.simulateCall(&s.orders)
+	return Accepted
+}
 
 // The leader of a starting fleet has an order for every endpoint, and a new leader a probe. Only a limited number run
 // at once, and all complete.
@@ -191,7 +194,7 @@
 // Retiring must not take the step's lock.
 func TestRetiringDoesNotTakeTheStepLock(t *testing.T) {
 	c := newTestController(&fakeEngine{}, func(time.Time) (int64, time.Time, bool) { return 1, time.Now().Add(time.Hour), true })
-	c.Own = func(time.Time) gossip.Status {
+	c.OwnStatus = func(time.Time) gossip.Status {
 		c.Retiring() // deadlocks if it takes the lock of the step
 		return gossip.Status{}
 	}
@@ -207,22 +210,22 @@
 // silentEngine does not answer probes until their context ends.
 type silentEngine struct{ fakeEngine }
 
-func (s *silentEngine) Ask(ctx context.Context, _ *endpoint.Endpoint) Answer {
+func (s *silentEngine) Probe(ctx context.Context, _ *endpoint.Endpoint) ProbeResult {
 	<-ctx.Done()
-	return Silent
+	return NoAnswer
 }
 
 func TestPeersAreProbedWhileAnEndpointDoesNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(&silentEngine{}, nil)
 		began, asked := time.Now(), time.Time{}
-		c.Heard = func(context.Context, *endpoint.Endpoint) bool {
+		c.ReachableByPeers = func(context.Context, *endpoint.Endpoint) bool {
 			asked = time.Now()
 			time.Sleep(probeTimeout)
 			return false
 		}
 		answer, unheard := c.probeWithPeers(context.Background(), &endpoint.Endpoint{ID: "a"})
-		qt.Check(t, answer == Silent && unheard, qt.IsTrue)
+		qt.Check(t, answer == NoAnswer && unheard, qt.IsTrue)
 		qt.Check(t, asked.Sub(began), qt.Equals, peerProbeDelay)
 		qt.Check(t, time.Since(began), qt.Equals, peerProbeDelay+probeTimeout)
 	})
@@ -230,7 +233,7 @@
 
 func TestPeersAreNotProbedWhenTheEndpointAnswers(t *testing.T) {
 	c := newTestController(&fakeEngine{}, nil)
-	c.Heard = func(context.Context, *endpoint.Endpoint) bool {
+	c.ReachableByPeers = func(context.Context, *endpoint.Endpoint) bool {
 		t.Error("peers were asked about an endpoint that answers")
 		return true
 	}
@@ -241,7 +244,7 @@
 func TestNewLostGroupsAreReportedAtOnce(t *testing.T) {
 	calls := 0
 	c := newTestController(&fakeEngine{}, nil)
-	c.Told = func() { calls++ }
+	c.OnGroupsAdded = func() { calls++ }
 	p := NewPlanner(1, origin)
 	c.planners["lm"] = p
 	c.publishGroups()
--- a/internal/formation/engine.go
+++ b/internal/formation/engine.go
@@ -6,27 +6,27 @@
 	"moorrun.dev/moorrun/internal/endpoint"
 )
 
-// Answer is the result of probing an endpoint directly.
-type Answer uint8
+// ProbeResult is the result of probing an endpoint directly.
+type ProbeResult uint8
 
 const (
 	// Answered means that the endpoint answered and has carried out every order.
-	Answered Answer = iota + 1
+	Answered ProbeResult = iota + 1
 	// AnsweredBusy means that the endpoint answered and is still carrying out an order, such as a load.
 	AnsweredBusy
-	// NobodyThere means that nothing listens at the address, or that another endpoint does.
-	NobodyThere
-	// Silent means that no answer came before the timeout.
-	Silent
+	// Absent means that nothing listens at the address, or that another endpoint does.
+	Absent
+	// NoAnswer means that no answer came before the timeout.
+	NoAnswer
 )
 
 // Heard reports whether the endpoint answered.
-func (a Answer) Heard() bool { return a == Answered || a == AnsweredBusy }
+func (a ProbeResult) Heard() bool { return a == Answered || a == AnsweredBusy }
 
 // Engine sends probes and orders to endpoints.
 type Engine interface {
-	// Ask probes the endpoint for its state.
-	Ask(ctx context.Context, e *endpoint.Endpoint) Answer
+	// Probe probes the endpoint for its state.
+	Probe(ctx context.Context, e *endpoint.Endpoint) ProbeResult
 	// Order sends an order to its endpoint.
 	Order(ctx context.Context, o Order) Outcome
 }
--- a/internal/formation/options.go
+++ b/internal/formation/options.go
@@ -13,21 +13,21 @@
 
 // Options configure a Controller.
 type Options struct {
-	Engine    Engine
-	Directory *endpoint.Directory
-	Table     func() *route.Table
-	Beat      time.Duration // interval at which endpoints write their entries
+	Engine        Engine
+	Directory     *endpoint.Directory
+	Table         func() *route.Table
+	WriteInterval time.Duration // interval at which endpoints write their entries
 	// Lease returns the epoch of this node's leader lease and the time at which it expires; ok is false if the lease is
 	// not held.
-	Lease   func(now time.Time) (epoch int64, until time.Time, ok bool)
-	Current func() time.Time                   // time as of which the directory is known to be current, apart from entries it may lack
-	Listed  func() time.Time                   // time as of which the directory is known to hold everything that the store listed
-	Others  func(now time.Time) *gossip.Totals // loads and suspected groups of the other nodes
-	Own     func(now time.Time) gossip.Status  // loads and suspected groups of this node
-	Busy    func() bool                        // whether a caller has sent a request to this node
-	// Heard asks the other nodes whether they can reach the endpoint.
-	Heard func(ctx context.Context, e *endpoint.Endpoint) bool
-	// Told is called when Retiring or Lost have gained a group; it must not block. It may be nil.
-	Told   func()
-	Logger log.Logger
+	Lease       func(now time.Time) (epoch int64, until time.Time, ok bool)
+	CurrentAsOf func() time.Time                   // time as of which the directory is known to be current, apart from entries it may lack
+	ListedAsOf  func() time.Time                   // time as of which the directory is known to hold everything that the store listed
+	PeerTotals  func(now time.Time) *gossip.Totals // loads and suspected groups of the other nodes
+	OwnStatus   func(now time.Time) gossip.Status  // loads and suspected groups of this node
+	Busy        func() bool                        // whether a caller has sent a request to this node
+	// ReachableByPeers asks the other nodes whether they can reach the endpoint.
+	ReachableByPeers func(ctx context.Context, e *endpoint.Endpoint) bool
+	// OnGroupsAdded is called when Retiring or Lost have gained a group; it must not block. It may be nil.
+	OnGroupsAdded func()
+	Logger        log.Logger
 }
--- a/internal/formation/order.go
+++ b/internal/formation/order.go
@@ -48,31 +48,31 @@
 type Outcome uint8
 
 const (
-	// Taken means that the endpoint accepted the order.
-	Taken Outcome = iota + 1
+	// Accepted means that the endpoint accepted the order.
+	Accepted Outcome = iota + 1
 	// Refused means that the order does not fit the endpoint's state.
 	Refused
 	// Fenced means that the endpoint has seen a higher epoch or an order of a later leader. Nothing has changed.
 	Fenced
-	// Elsewhere means that the address belongs to another endpoint: the intended one has ended.
-	Elsewhere
+	// WrongEndpoint means that the address belongs to another endpoint: the intended one has ended.
+	WrongEndpoint
 	// Unknown means that no answer came: the order may still be carried out, perhaps much later.
 	Unknown
 )
 
 // Declined reports whether the endpoint certainly does not carry out the order.
-func (o Outcome) Declined() bool { return o == Refused || o == Fenced || o == Elsewhere }
+func (o Outcome) Declined() bool { return o == Refused || o == Fenced || o == WrongEndpoint }
 
 // String returns the name used in logs.
 func (o Outcome) String() string {
 	switch o {
-	case Taken:
+	case Accepted:
 		return "taken"
 	case Refused:
 		return "refused"
 	case Fenced:
 		return "fenced"
-	case Elsewhere:
+	case WrongEndpoint:
 		return "elsewhere"
 	default:
 		return "unknown"
--- a/internal/formation/plan_test.go
+++ b/internal/formation/plan_test.go
@@ -31,8 +31,8 @@
 
 func TestReadyTimeoutStartsAtTheLastJoin(t *testing.T) {
 	s, p, sent := newPlannedGroup(t)
-	p.RecordOutcome(sent[0], Taken, s.now)
-	p.RecordOutcome(sent[1], Taken, s.now.Add(joinGrace/2))
+	p.RecordOutcome(sent[0], Accepted, s.now)
+	p.RecordOutcome(sent[1], Accepted, s.now.Add(joinGrace/2))
 	qt.Check(t, s.plansAfter(joinGrace+time.Millisecond, p), qt.Equals, 1, qt.Commentf("half of the last member's time is left"))
 	s.now = s.now.Add(joinGrace / 2)
 	p.Step(s.view())
@@ -41,7 +41,7 @@
 
 func TestPlanWithUnansweredJoinIsAbandonedOnTime(t *testing.T) {
 	s, p, sent := newPlannedGroup(t)
-	p.RecordOutcome(sent[0], Taken, s.now.Add(joinGrace/2))
+	p.RecordOutcome(sent[0], Accepted, s.now.Add(joinGrace/2))
 	p.RecordOutcome(sent[1], Unknown, s.now.Add(joinGrace/2))
 	s.plansAfter(joinGrace+time.Millisecond, p)
 	qt.Check(t, p.ended, qt.HasLen, 1)
@@ -50,7 +50,7 @@
 func TestHeadThatAcceptedOpenGetsTimeToOpen(t *testing.T) {
 	s, p, sent := newPlannedGroup(t)
 	for _, pl := range p.plans {
-		p.RecordOutcome(Order{Kind: Open, Endpoint: sent[0].Endpoint, Group: pl.name, Epoch: pl.epoch}, Taken, s.now.Add(joinGrace/2))
+		p.RecordOutcome(Order{Kind: Open, Endpoint: sent[0].Endpoint, Group: pl.name, Epoch: pl.epoch}, Accepted, s.now.Add(joinGrace/2))
 	}
 	qt.Check(t, s.plansAfter(joinGrace+time.Millisecond, p), qt.Equals, 1)
 	s.plansAfter(openTimeout, p)
--- a/internal/formation/planner.go
+++ b/internal/formation/planner.go
@@ -131,11 +131,11 @@
 		case pl == nil:
 		case outcome.Declined():
 			pl.refused = true
-		case outcome == Taken:
+		case outcome == Accepted:
 			pl.recordJoin(o.Endpoint.ID, now)
 		}
 	case Leave:
-		if _, ok := p.retiring[o.Group]; ok && (outcome == Taken || outcome == Refused) {
+		if _, ok := p.retiring[o.Group]; ok && (outcome == Accepted || outcome == Refused) {
 			p.removeRetirement(o.Group)
 			p.ended[o.Group] = now
 			p.note("group ended", o.Group, "reason", "leave "+outcome.String())
@@ -148,7 +148,7 @@
 			delete(p.stagings, o.Endpoint.ID)
 		}
 	case Open:
-		if pl := p.plans[o.Group]; pl != nil && outcome == Taken {
+		if pl := p.plans[o.Group]; pl != nil && outcome == Accepted {
 			pl.extendDeadline(now.Add(openTimeout))
 		}
 	}
--- a/internal/formation/world_test.go
+++ b/internal/formation/world_test.go
@@ -97,7 +97,7 @@
 	x := w.endpoints[o.Endpoint.ID]
 	w.log("%5d ms %s %s %s of %v", w.now.Sub(origin).Milliseconds(), o.Endpoint.ID, o.Kind, o.Group, o.Members)
 	if x == nil || !x.up {
-		return Elsewhere
+		return WrongEndpoint
 	}
 	m := x.Membership
 	switch o.Kind {
@@ -123,7 +123,7 @@
 		x.Staged = []string{o.Model}
 		x.Revision++
 	}
-	return Taken
+	return Accepted
 }
 
 func (w *simulation) join(x *fakeEndpoint, o Order) Outcome {
@@ -141,7 +141,7 @@
 	x.Revision++
 	x.Models = []string{o.Model}
 	x.readyAt = w.now.Add(300 * time.Millisecond)
-	return Taken
+	return Accepted
 }
 
 func (w *simulation) setState(x *fakeEndpoint, s endpoint.State) {
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -35,10 +35,10 @@
 
 // probeEndpoint asks an endpoint whether it is alive.
 func (n *Server) probeEndpoint(ctx context.Context, e *endpoint.Endpoint) quarantine.ProbeResult {
-	switch answer := n.platform.Engine.Ask(ctx, e); {
+	switch answer := n.platform.Engine.Probe(ctx, e); {
 	case answer.Heard():
 		return quarantine.Alive
-	case answer == formation.NobodyThere:
+	case answer == formation.Absent:
 		return quarantine.Ended
 	default:
 		return quarantine.Unknown
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -144,9 +144,9 @@
 	ttl := s.LeaseTTL()
 	n.keeper = holder.NewKeeper(n.platform.Objects, leaseName, s.VM, ttl, ttl/leaseMarginDivisor, n.wantsLead, logger)
 	n.controller = formation.NewController(formation.Options{
-		Engine: n.platform.Engine, Directory: n.directory, Table: n.table.Load, Lease: n.keeper.Held, Beat: s.EndpointBeat(),
-		Current: func() time.Time { return n.follower.Current(keys.Endpoints) }, Listed: n.endpointsListedAt, Others: n.gossip.Others, Own: n.ownStatus,
-		Busy: func() bool { return n.requests.Load() > 0 }, Heard: n.heardByOthers, Told: n.gossip.Kick, Logger: logger,
+		Engine: n.platform.Engine, Directory: n.directory, Table: n.table.Load, Lease: n.keeper.Held, WriteInterval: s.EndpointBeat(),
+		CurrentAsOf: func() time.Time { return n.follower.Current(keys.Endpoints) }, ListedAsOf: n.endpointsListedAt, PeerTotals: n.gossip.Others, OwnStatus: n.ownStatus,
+		Busy: func() bool { return n.requests.Load() > 0 }, ReachableByPeers: n.heardByOthers, OnGroupsAdded: n.gossip.Kick, Logger: logger,
 	})
 	decisions := eventlog.NewDecisions(logger, eventlog.Limits{SampleOneIn: s.SampleOneIn, Failures: s.FailureLinesSecond})
 	n.gateway = gateway.New(gateway.Options{
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -83,7 +83,7 @@
 // seconds without orders and forty calls by all the nodes that could lead. If the store answers nothing, the lease expires by
 // itself.
 func (n *Server) listedRecently(now time.Time) bool {
-	return now.Sub(n.endpointsListedAt()) <= formation.FreshEnough
+	return now.Sub(n.endpointsListedAt()) <= formation.MaxListAge
 }
 
 // handleBeat processes another node's heartbeat.
@@ -119,7 +119,7 @@
 func (n *Server) probeForPeer(ctx context.Context, id, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return n.platform.Engine.Ask(ctx, &endpoint.Endpoint{ID: id, Address: address}).Heard()
+	return n.platform.Engine.Probe(ctx, &endpoint.Endpoint{ID: id, Address: address}).Heard()
 }
 
 // heardByOthers asks up to maxProbeNodes other nodes, chosen at random, whether an endpoint answers them. An endpoint in a data
--- a/test/fleet/engines_test.go
+++ b/test/fleet/engines_test.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// Ask implements formation.Engine.
-func (e *estate) Ask(_ context.Context, _ *endpoint.Endpoint) formation.Answer {
+// Probe implements formation.Engine.
+func (e *estate) Probe(_ context.Context, _ *endpoint.Endpoint) formation.ProbeResult {
 	time.Sleep(orderTakes)
 	return formation.Answered
 }
@@ -159,7 +159,7 @@
 			e.tell(w)
 		})
 	}
-	return formation.Taken
+	return formation.Accepted
 }
 
 // become carries an order out that took its time, unless another has come meanwhile.
