--- a/internal/gossip/convert.go
+++ b/internal/gossip/convert.go
@@ -13,7 +13,7 @@
 // toWire encodes a node's identity and status as a beat; times become ages as of now.
 func toWire(self Identity, s Status, now time.Time) *gossippb.Beat {
 	b := &gossippb.Beat{
-		Vm: self.VM, Incarnation: self.Incarnation, Zone: self.Zone, CallerAddress: self.CallerAddress,
+		Vm: self.VM, Incarnation: self.Incarnation, Zone: self.DataCentre, CallerAddress: self.CallerAddress,
 		GossipAddress: self.GossipAddress, PeerAddress: self.PeerAddress,
 		Leaving: s.Leaving, Serving: s.Serving, Watching: s.Watching, Eligible: s.Eligible, LeaderEpoch: s.LeaderEpoch, Sequence: s.Sequence,
 		RoutingSequence: s.Routing, Full: s.Full,
@@ -52,7 +52,7 @@
 func fromWire(b *gossippb.Beat, asOf time.Time) *Peer {
 	p := &Peer{
 		Identity: Identity{
-			VM: b.Vm, Incarnation: b.Incarnation, Zone: b.Zone, CallerAddress: b.CallerAddress,
+			VM: b.Vm, Incarnation: b.Incarnation, DataCentre: b.Zone, CallerAddress: b.CallerAddress,
 			GossipAddress: b.GossipAddress, PeerAddress: b.PeerAddress, Capacity: b.Capacity,
 		},
 		Status: Status{
--- a/internal/gossip/demand.go
+++ b/internal/gossip/demand.go
@@ -8,8 +8,8 @@
 	Mix              engine.Mix // rate and size of the requests that have arrived recently
 }
 
-// Sum returns the demand for all models together.
-func Sum(demands map[string]Demand) Demand {
+// SumDemands returns the demand for all models together.
+func SumDemands(demands map[string]Demand) Demand {
 	var sum Demand
 	for _, d := range demands {
 		sum = sum.Plus(d)
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -82,9 +82,9 @@
 	// Quarantine is the table of requests suspected of ending the endpoints that run them. The nodes synchronize it; nil
 	// disables this.
 	Quarantine *quarantine.Table
-	// CapacityOfRequest is the capacity that one running request needs of the nodes that serve callers, in thousandths of a
+	// CapacityPerRequest is the capacity that one running request needs of the nodes that serve callers, in thousandths of a
 	// core.
-	CapacityOfRequest float64
+	CapacityPerRequest float64
 	// OnSent is called with the kind and the size in bytes of each beat sent; it must not block.
 	OnSent func(kind BeatKind, size int)
 
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -87,13 +87,13 @@
 	s := Status{
 		Leaving: true, Serving: true, Watching: true, Eligible: true, LeaderEpoch: 7, Lease: Lease{12, 1500 * time.Millisecond}, Uptime: 5 * time.Second, Sequence: 9,
 		ProofAt: now.Add(-40 * time.Millisecond), Loads: Loads{KeyOf("a"): 3},
-		Limits: RateLimits{KeyOf("a"): {Named: true, PerSecond: 1.9, AsOf: now.Add(-20 * time.Millisecond), Recent: 7, Passed: 2}},
-		Cold:   RateLimits{KeyOf("b"): {AsOf: now.Add(-10 * time.Millisecond), Recent: 5, Passed: 1}}, Retiring: []string{"g"}, Lost: []string{"h"},
+		Limits: RateLimits{KeyOf("a"): {Named: true, PerSecond: 1.9, AsOf: now.Add(-20 * time.Millisecond), Recent: 7, Withheld: 2}},
+		Cold:   RateLimits{KeyOf("b"): {AsOf: now.Add(-10 * time.Millisecond), Recent: 5, Withheld: 1}}, Retiring: []string{"g"}, Lost: []string{"h"},
 		Suspects: map[string]time.Time{"g": now.Add(-time.Second)}, Demands: map[string]Demand{"m": {Waiting: 1, Running: 2, Mix: engine.Mix{PerSecond: 0.5, Tokens: 2048, Squares: 1 << 22, Objective: 300 * time.Millisecond}}},
 	}
-	p := fromWire(toWire(Identity{VM: "v", Zone: "z"}, s, now), now)
+	p := fromWire(toWire(Identity{VM: "v", DataCentre: "z"}, s, now), now)
 	qt.Check(t, p.Status, qt.DeepEquals, s)
-	qt.Check(t, p.Zone, qt.Equals, "z")
+	qt.Check(t, p.DataCentre, qt.Equals, "z")
 }
 
 func TestPullReturnsWhatIsNewToTheOtherSide(t *testing.T) {
--- a/internal/gossip/partial_view.go
+++ b/internal/gossip/partial_view.go
@@ -34,8 +34,8 @@
 	status := n.lastStatus
 	status.Loads = nil
 	nodes := append([]*Peer{{Identity: n.self, Status: status, Heard: now}}, n.live(now)...)
-	running := Sum(n.othersNow(now).Demands).Running + Sum(n.lastStatus.Demands).Running
-	members := selectView(nodes, n.relays, viewCapacityFactor*n.CapacityOfRequest*float64(running))
+	running := SumDemands(n.othersNow(now).Demands).Running + SumDemands(n.lastStatus.Demands).Running
+	members := selectView(nodes, n.relays, viewCapacityFactor*n.CapacityPerRequest*float64(running))
 	n.view = partialView{roster: newRoster(members), at: now, statuses: make(map[string]Status, len(members))}
 	for _, p := range members {
 		n.view.statuses[p.VM] = p.Status
@@ -58,12 +58,12 @@
 	}
 	shares := make(map[string]*viewShare)
 	for _, p := range sorted {
-		shares[p.Zone] = &viewShare{}
+		shares[p.DataCentre] = &viewShare{}
 	}
 	capacity /= float64(len(shares))
 	var out []*Peer
 	for _, p := range sorted {
-		s := shares[p.Zone]
+		s := shares[p.DataCentre]
 		enough := s.nodes >= minViewNodes && s.capacity >= capacity
 		if enough && !kept[p.VM] && p.LeaderEpoch == 0 {
 			continue
--- a/internal/gossip/rate_limit.go
+++ b/internal/gossip/rate_limit.go
@@ -13,7 +13,7 @@
 	PerSecond float64   // requests per second from all nodes together
 	AsOf      time.Time // when the endpoint announced it
 	Recent    int       // requests recently sent to the endpoint by the nodes that this covers
-	Passed    int       // requests that the limit kept from being sent to it
+	Withheld  int       // requests that the limit kept from being sent to it
 }
 
 // RateLimits maps endpoints to their rate limits.
@@ -28,7 +28,7 @@
 			merged = other
 		}
 		merged.Recent = known.Recent + other.Recent
-		merged.Passed = known.Passed + other.Passed
+		merged.Withheld = known.Withheld + other.Withheld
 		r[key] = merged
 	}
 }
@@ -39,7 +39,7 @@
 	for key, o := range other {
 		if l, ok := out[key]; ok {
 			l.Recent = max(0, l.Recent-o.Recent)
-			l.Passed = max(0, l.Passed-o.Passed)
+			l.Withheld = max(0, l.Withheld-o.Withheld)
 			out[key] = l
 		}
 	}
@@ -51,7 +51,7 @@
 	for key, l := range r {
 		out = append(out, &gossippb.RateLimit{
 			Endpoint: uint32(key), Named: l.Named, PerSecond: l.PerSecond, AgeMs: ceilMillis(now.Sub(l.AsOf)),
-			Recent: uint32(l.Recent), Passed: uint32(l.Passed), //nolint:gosec // never negative
+			Recent: uint32(l.Recent), Passed: uint32(l.Withheld), //nolint:gosec // never negative
 		})
 	}
 	return out
@@ -61,7 +61,7 @@
 	out := make(RateLimits, len(list))
 	for _, l := range list {
 		out[EndpointKey(l.Endpoint)] = RateLimit{
-			Named: l.Named, PerSecond: l.PerSecond, AsOf: asOf.Add(-fromMillis(l.AgeMs)), Recent: int(l.Recent), Passed: int(l.Passed),
+			Named: l.Named, PerSecond: l.PerSecond, AsOf: asOf.Add(-fromMillis(l.AgeMs)), Recent: int(l.Recent), Withheld: int(l.Passed),
 		}
 	}
 	return out
--- a/internal/gossip/relays.go
+++ b/internal/gossip/relays.go
@@ -41,7 +41,7 @@
 	slices.SortFunc(ranked, func(a, b rankedPeer) int { return CompareSize(a.Peer, b.Peer) })
 	countByDataCentre := make(map[string]int)
 	for i := range ranked {
-		dataCentre := ranked[i].Zone
+		dataCentre := ranked[i].DataCentre
 		ranked[i].rankInDataCentre = countByDataCentre[dataCentre]
 		countByDataCentre[dataCentre]++
 	}
@@ -86,7 +86,7 @@
 
 // distance returns 0 for a node in the same data centre and 1 for any other.
 func distance(self Identity, p *Peer) int {
-	if p.Zone == self.Zone {
+	if p.DataCentre == self.DataCentre {
 		return 0
 	}
 	return 1
--- a/internal/gossip/relays_test.go
+++ b/internal/gossip/relays_test.go
@@ -29,7 +29,7 @@
 				Demands: map[string]Demand{"m": {Running: 1}},
 			}
 		})
-		n.self.Zone = fmt.Sprintf("z%d", i%3)
+		n.self.DataCentre = fmt.Sprintf("z%d", i%3)
 		if i > 0 {
 			n.Add(f.nodes[0].Self().GossipAddress)
 		}
@@ -98,7 +98,7 @@
 	f := newSettledFleet(t, size)
 	f.awaitConverged(f.nodes)
 	for _, n := range f.nodes {
-		qt.Check(t, n.Known(time.Now()), qt.Equals, size-1)
+		qt.Check(t, n.KnownCount(time.Now()), qt.Equals, size-1)
 	}
 }
 
@@ -160,8 +160,8 @@
 }
 
 func TestNodesPreferRelaysOfTheirDataCentre(t *testing.T) {
-	relays := []*Peer{{Identity: Identity{VM: "far", Zone: "b"}}, {Identity: Identity{VM: "near", Zone: "a"}}}
-	qt.Check(t, preferredRelays(Identity{VM: "x", Zone: "a"}, relays)[0].VM, qt.Equals, "near")
+	relays := []*Peer{{Identity: Identity{VM: "far", DataCentre: "b"}}, {Identity: Identity{VM: "near", DataCentre: "a"}}}
+	qt.Check(t, preferredRelays(Identity{VM: "x", DataCentre: "a"}, relays)[0].VM, qt.Equals, "near")
 }
 
 func TestTotalsWithoutOneNode(t *testing.T) {
@@ -190,7 +190,7 @@
 		known++
 	}
 	newcomer := newTestNode(t, size, f.nodes[0].status)
-	newcomer.self.Zone = "z1"
+	newcomer.self.DataCentre = "z1"
 	newcomer.Add(f.nodes[known].Self().GossipAddress)
 	f.start(newcomer)
 	f.awaitConverged(f.nodes)
--- a/internal/gossip/sight_test.go
+++ b/internal/gossip/sight_test.go
@@ -15,20 +15,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newLargeFleet(15)
 		qt.Check(t, f.awaitSettled(14), qt.IsTrue)
-		observer, lostDataCentre := f.nodes[0], f.nodes[1].Self().Zone
-		qt.Check(t, observer.OutOfSight(lostDataCentre, time.Now()), qt.IsFalse)
+		observer, lostDataCentre := f.nodes[0], f.nodes[1].Self().DataCentre
+		qt.Check(t, observer.LostContact(lostDataCentre, time.Now()), qt.IsFalse)
 		for i, n := range f.nodes {
-			if n.Self().Zone == lostDataCentre {
+			if n.Self().DataCentre == lostDataCentre {
 				f.disconnect(i)
 			}
 		}
 		time.Sleep(4 * time.Second)
-		qt.Check(t, observer.OutOfSight(lostDataCentre, time.Now()), qt.IsTrue)
-		qt.Check(t, observer.OutOfSight(f.nodes[2].Self().Zone, time.Now()), qt.IsFalse)
-		qt.Check(t, observer.OutOfSight(observer.Self().Zone, time.Now()), qt.IsFalse)
-		qt.Check(t, observer.OutOfSight("none has ever been there", time.Now()), qt.IsFalse)
+		qt.Check(t, observer.LostContact(lostDataCentre, time.Now()), qt.IsTrue)
+		qt.Check(t, observer.LostContact(f.nodes[2].Self().DataCentre, time.Now()), qt.IsFalse)
+		qt.Check(t, observer.LostContact(observer.Self().DataCentre, time.Now()), qt.IsFalse)
+		qt.Check(t, observer.LostContact("none has ever been there", time.Now()), qt.IsFalse)
 		time.Sleep(time.Minute)
-		qt.Check(t, observer.OutOfSight(lostDataCentre, time.Now()), qt.IsFalse, qt.Commentf("its nodes were last live more than contactExpiry ago"))
+		qt.Check(t, observer.LostContact(lostDataCentre, time.Now()), qt.IsFalse, qt.Commentf("its nodes were last live more than contactExpiry ago"))
 		f.shutDown()
 	})
 }
--- a/internal/gossip/size_test.go
+++ b/internal/gossip/size_test.go
@@ -46,7 +46,7 @@
 		p := f.network.Open(i)
 		address := p.Address()
 		id := Identity{
-			VM: fmt.Sprintf("entry-%d", i), Incarnation: fmt.Sprintf("%08x", i), Zone: fmt.Sprintf("data-centre-%d", p.Zone()),
+			VM: fmt.Sprintf("entry-%d", i), Incarnation: fmt.Sprintf("%08x", i), DataCentre: fmt.Sprintf("data-centre-%d", p.Zone()),
 			CallerAddress: address, GossipAddress: address, PeerAddress: address, Capacity: 192,
 		}
 		if i < 3*network.DataCentres {
@@ -150,7 +150,7 @@
 		if len(seen) == others {
 			continue
 		}
-		if n.Relaying() || !isCompleteView(seen, len(f.nodes)) || n.Known(time.Now()) < others {
+		if n.Relaying() || !isCompleteView(seen, len(f.nodes)) || n.KnownCount(time.Now()) < others {
 			return false
 		}
 	}
@@ -162,7 +162,7 @@
 func isCompleteView(seen []*Peer, size int) bool {
 	seenByDataCentre := make(map[string]int)
 	for _, p := range seen {
-		seenByDataCentre[p.Zone]++
+		seenByDataCentre[p.DataCentre]++
 	}
 	for _, n := range seenByDataCentre {
 		if n < min(minViewNodes, size/network.DataCentres)-1 { // a node does not see itself
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -36,7 +36,7 @@
 	out := make([]*Peer, 0, len(found))
 	for _, p := range found {
 		n.lastSeen[p.VM] = now
-		n.dataCentreLastSeen[p.Zone] = now
+		n.dataCentreLastSeen[p.DataCentre] = now
 		out = append(out, p)
 	}
 	slices.SortFunc(out, func(a, b *Peer) int { return cmp.Compare(a.VM, b.VM) })
@@ -61,19 +61,19 @@
 	}
 }
 
-// OutOfSight reports whether a data centre had live nodes within contactExpiry and has none now. The state of its endpoints
+// LostContact reports whether a data centre had live nodes within contactExpiry and has none now. The state of its endpoints
 // is then unknown: the nodes that could be asked do not receive the question, or their answers do not arrive.
-func (n *Node) OutOfSight(dataCentre string, now time.Time) bool {
+func (n *Node) LostContact(dataCentre string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	live := n.live(now)
 	at, wasSeen := n.dataCentreLastSeen[dataCentre]
-	hasLiveNode := dataCentre == n.self.Zone || slices.ContainsFunc(live, func(p *Peer) bool { return p.Zone == dataCentre })
+	hasLiveNode := dataCentre == n.self.DataCentre || slices.ContainsFunc(live, func(p *Peer) bool { return p.DataCentre == dataCentre })
 	return wasSeen && !hasLiveNode && now.Sub(at) < contactExpiry
 }
 
-// Known returns the number of other nodes that this node or its relay has heard within contactExpiry.
-func (n *Node) Known(now time.Time) int {
+// KnownCount returns the number of other nodes that this node or its relay has heard within contactExpiry.
+func (n *Node) KnownCount(now time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.knownNow(now)
--- a/internal/ratelimit/cold.go
+++ b/internal/ratelimit/cold.go
@@ -71,8 +71,8 @@
 	defer c.mu.Unlock()
 	var out gossip.RateLimits
 	for key, e := range c.endpoints {
-		report := gossip.RateLimit{AsOf: now, Recent: e.counts.sent.Sum(now), Passed: e.counts.withheld.Sum(now)}
-		if report.Recent+report.Passed == 0 {
+		report := gossip.RateLimit{AsOf: now, Recent: e.counts.sent.Sum(now), Withheld: e.counts.withheld.Sum(now)}
+		if report.Recent+report.Withheld == 0 {
 			continue
 		}
 		if out == nil {
--- a/internal/ratelimit/counts.go
+++ b/internal/ratelimit/counts.go
@@ -23,7 +23,7 @@
 // draw is a random number in [0, 1).
 func (c counts) fits(allowed float64, others gossip.RateLimit, draw float64, now time.Time) bool {
 	sent := c.sent.Sum(now)
-	wanted := 1 + sent + c.withheld.Sum(now) + others.Recent + others.Passed
+	wanted := 1 + sent + c.withheld.Sum(now) + others.Recent + others.Withheld
 	return float64(1+sent+others.Recent) <= allowed && draw*float64(wanted) < allowed
 }
 
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -154,9 +154,9 @@
 	for key, e := range t.limits {
 		report := gossip.RateLimit{Named: e.limit.Named, PerSecond: e.limit.PerSecond, AsOf: e.asOf}
 		if e.limit.Named {
-			report.Recent, report.Passed = t.sentCounter(key).Sum(now), e.withheld.Sum(now)
+			report.Recent, report.Withheld = t.sentCounter(key).Sum(now), e.withheld.Sum(now)
 		}
-		if report.Recent+report.Passed == 0 && now.Sub(e.lastAnswer) > reportPeriod {
+		if report.Recent+report.Withheld == 0 && now.Sub(e.lastAnswer) > reportPeriod {
 			continue
 		}
 		if out == nil {
--- a/internal/server/addresses.go
+++ b/internal/server/addresses.go
@@ -43,7 +43,7 @@
 // has not been busy for long enough for the others to know.
 func (n *Server) nodeCounts() retry.Nodes {
 	now := clock.Now()
-	out := retry.Nodes{All: 1 + n.gossip.Known(now)}
+	out := retry.Nodes{All: 1 + n.gossip.KnownCount(now)}
 	if n.traffic.settled(now) {
 		out.Busy = 1 + n.gossip.Others(now).Busy
 	}
@@ -52,7 +52,7 @@
 
 // runningRequests returns the number of requests that all nodes together are running at replica groups.
 func (n *Server) runningRequests(now time.Time) int {
-	return gossip.Sum(n.gossip.Others(now).Demands).Running + gossip.Sum(n.ownStatus(now).Demands).Running
+	return gossip.SumDemands(n.gossip.Others(now).Demands).Running + gossip.SumDemands(n.ownStatus(now).Demands).Running
 }
 
 // addressesFor is like addresses, for the given nodes and number of running requests.
@@ -63,8 +63,8 @@
 		if p.Leaving || !p.Serving {
 			continue
 		}
-		dataCentres[p.Zone] = true
-		if p.Zone == dataCentre {
+		dataCentres[p.DataCentre] = true
+		if p.DataCentre == dataCentre {
 			near = append(near, p)
 			continue
 		}
--- a/internal/server/addresses_test.go
+++ b/internal/server/addresses_test.go
@@ -12,7 +12,7 @@
 // servingNode returns a serving node of a data centre with a capacity in thousandths of a core.
 func servingNode(dataCentre string, i int, capacity uint32) *gossip.Peer {
 	id := fmt.Sprintf("%s-%d", dataCentre, i)
-	return &gossip.Peer{Identity: gossip.Identity{VM: id, Zone: dataCentre, CallerAddress: id, Capacity: capacity}, Status: gossip.Status{Serving: true}}
+	return &gossip.Peer{Identity: gossip.Identity{VM: id, DataCentre: dataCentre, CallerAddress: id, Capacity: capacity}, Status: gossip.Status{Serving: true}}
 }
 
 // largeFleet returns the nodes of two data centres with three large and twenty small nodes each.
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -65,7 +65,7 @@
 		s.Gauge("endpoints_limited").Update(float64(n.rates.CountNamed()))
 		s.Gauge("endpoints").Update(float64(len(snapshot.Endpoints)))
 		status := n.ownStatus(now)
-		demand := gossip.Sum(status.Demands)
+		demand := gossip.SumDemands(status.Demands)
 		s.Gauge("requests_running").Update(float64(demand.Running))
 		s.Gauge("requests_waiting").Update(float64(demand.Waiting))
 		s.Gauge("groups_suspected").Update(float64(len(status.Suspects)))
--- a/internal/server/overview.go
+++ b/internal/server/overview.go
@@ -41,7 +41,7 @@
 	out := overview{VM: self.VM, Nodes: nodes}
 	for _, p := range append([]*gossip.Peer{&self}, others...) {
 		m := memberView{
-			VM: p.VM, DataCentre: p.Zone, Leads: p.LeaderEpoch > 0, Relays: p.Relay, Watches: p.Watching, Serving: p.Serving, Leaving: p.Leaving,
+			VM: p.VM, DataCentre: p.DataCentre, Leads: p.LeaderEpoch > 0, Relays: p.Relay, Watches: p.Watching, Serving: p.Serving, Leaving: p.Leaving,
 		}
 		if !p.ProofAt.IsZero() {
 			age := now.Sub(p.ProofAt).Milliseconds()
@@ -61,5 +61,5 @@
 	self := gossip.Peer{Identity: n.gossip.Self(), Status: n.status(now)}
 	self.Relay = n.gossip.Relaying()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(newOverview(self, n.gossip.Live(now), 1+n.gossip.Known(now), now)) //nolint:errchkjson // fails only if the client has disconnected
+	_ = json.NewEncoder(w).Encode(newOverview(self, n.gossip.Live(now), 1+n.gossip.KnownCount(now), now)) //nolint:errchkjson // fails only if the client has disconnected
 }
--- a/internal/server/registration.go
+++ b/internal/server/registration.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		id := gossip.Identity{
-			VM: o.Key[len(keys.Gateways):], Zone: r.DataCentre, Capacity: r.Capacity, GossipAddress: r.PeerAddress, PeerAddress: r.PeerAddress,
+			VM: o.Key[len(keys.Gateways):], DataCentre: r.DataCentre, Capacity: r.Capacity, GossipAddress: r.PeerAddress, PeerAddress: r.PeerAddress,
 		}
 		others = append(others, id)
 		n.gossip.Introduce(id)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -116,7 +116,7 @@
 	n.startJitter = rand.Float64() //nolint:gosec // spreads queries over time, not security relevant
 	n.platform = newPlatform(s, n.calls)
 	self := gossip.Identity{
-		VM: s.VM, Incarnation: uuid.NewString()[:8], Zone: s.DataCentre, CallerAddress: s.CallerAddress,
+		VM: s.VM, Incarnation: uuid.NewString()[:8], DataCentre: s.DataCentre, CallerAddress: s.CallerAddress,
 		GossipAddress: s.PeerAddress, PeerAddress: s.PeerAddress, Capacity: uint32(s.Capacity * capacityPerCore),
 	}
 	n.election = newElection(n.started, self.Capacity)
@@ -126,14 +126,14 @@
 	n.setUpQuarantine()
 	leads := func() bool { return n.controller.Leads(clock.Now()) > 0 }
 	n.follower = follow.NewFollower(n.platform.Objects, n.peerCaller, s.VM, leads, n.gossip.Live, logger)
-	n.follower.KeepsAll, n.follower.Others = n.keepsAll, n.gossip.Known
+	n.follower.KeepsAll, n.follower.Others = n.keepsAll, n.gossip.KnownCount
 	n.follower.Beat = s.EndpointBeat()
 	n.follower.StartDelay, n.follower.Relaying = n.startDelay, n.actsAsRelay
 	if s.Evacuations {
 		n.follower.AddPrefixes(keys.Evacuations)
 	}
 	n.gossip.OnBeat = n.handleBeat
-	n.gossip.CapacityOfRequest = capacityPerCore * coresPerRequest / targetCPUFraction
+	n.gossip.CapacityPerRequest = capacityPerCore * coresPerRequest / targetCPUFraction
 	n.gossip.OnSent = newBeatCounter(n.scope)
 	n.rpc = gossip.NewServer(self.Incarnation, n.follower.Mirror, n.probeForPeer)
 	n.rates = ratelimit.NewTable(n.started)
