--- a/internal/endpoint/directory.go
+++ b/internal/endpoint/directory.go
@@ -62,14 +62,14 @@
 	byListedID := make(map[string]*Endpoint, len(old.Endpoints)) // by listed ID
 	for id, e := range old.Endpoints {
 		next.Endpoints[id] = e
-		byListedID[Listed(id)] = e
+		byListedID[ListedID(id)] = e
 	}
 	for _, e := range changed {
-		if before := byListedID[Listed(e.ID)]; before != nil && before.ID != e.ID {
-			next.Gone[before.ID] = Gone{Endpoint: before, At: now, Over: true}
+		if before := byListedID[ListedID(e.ID)]; before != nil && before.ID != e.ID {
+			next.Gone[before.ID] = Gone{Endpoint: before, At: now, Restarted: true}
 			delete(next.Endpoints, before.ID)
 		}
-		byListedID[Listed(e.ID)] = e
+		byListedID[ListedID(e.ID)] = e
 		if _, leaving := d.leaving[e.ID]; leaving {
 			e.Draining = true
 		}
--- a/internal/endpoint/directory_test.go
+++ b/internal/endpoint/directory_test.go
@@ -81,26 +81,26 @@
 
 func TestEndpointThatStartsAgainUnderItsIDTakesThePlaceOfItsEarlierLife(t *testing.T) {
 	d := endpoint.NewDirectory(time.Second)
-	first := &endpoint.Endpoint{ID: endpoint.Life("i-1", 100), Service: "s", Models: []string{"m"}, Membership: &endpoint.Membership{Group: "g", Epoch: 1, State: endpoint.Open}}
-	d.Apply([]*endpoint.Endpoint{first, {ID: endpoint.Life("i-2", 100), Service: "s"}}, nil, time.Now())
-	second := &endpoint.Endpoint{ID: endpoint.Life("i-1", 200), Service: "s"}
+	first := &endpoint.Endpoint{ID: endpoint.InstanceID("i-1", 100), Service: "s", Models: []string{"m"}, Membership: &endpoint.Membership{Group: "g", Epoch: 1, State: endpoint.Open}}
+	d.Apply([]*endpoint.Endpoint{first, {ID: endpoint.InstanceID("i-2", 100), Service: "s"}}, nil, time.Now())
+	second := &endpoint.Endpoint{ID: endpoint.InstanceID("i-1", 200), Service: "s"}
 	d.Apply([]*endpoint.Endpoint{second}, nil, time.Now())
 	s := d.Read()
 	qt.Check(t, s.Endpoints, qt.HasLen, 2)
 	qt.Check(t, s.Endpoints[second.ID].Models, qt.HasLen, 0, qt.Commentf("the new instance has none of the earlier instance's models"))
 	qt.Check(t, s.Groups, qt.HasLen, 0)
-	qt.Check(t, s.Gone[first.ID].Over, qt.IsTrue)
+	qt.Check(t, s.Gone[first.ID].Restarted, qt.IsTrue)
 	d.Apply(nil, []string{"i-1", "i-2", "i-3"}, time.Now())
 	s = d.Read()
 	qt.Check(t, s.Endpoints, qt.HasLen, 0)
-	qt.Check(t, s.Gone[second.ID].Over, qt.IsFalse)
-	qt.Check(t, endpoint.Listed(second.ID), qt.Equals, "i-1")
-	qt.Check(t, endpoint.Life("i-1", 0), qt.Equals, "i-1")
+	qt.Check(t, s.Gone[second.ID].Restarted, qt.IsFalse)
+	qt.Check(t, endpoint.ListedID(second.ID), qt.Equals, "i-1")
+	qt.Check(t, endpoint.InstanceID("i-1", 0), qt.Equals, "i-1")
 }
 
 func TestEndpointThatAnnouncedItLeavesIsDrainingWhateverItsEntrySays(t *testing.T) {
 	d := endpoint.NewDirectory(time.Second)
-	instance := endpoint.Life("i-1", 100)
+	instance := endpoint.InstanceID("i-1", 100)
 	listed := func() *endpoint.Endpoint { return &endpoint.Endpoint{ID: instance, Service: "s"} }
 	d.Apply([]*endpoint.Endpoint{listed()}, nil, origin)
 	before := d.Read()
@@ -113,7 +113,7 @@
 	d.Apply(nil, []string{"i-1"}, origin.Add(2*time.Second))
 	d.Apply([]*endpoint.Endpoint{listed()}, nil, origin.Add(3*time.Second))
 	qt.Check(t, d.Read().Endpoints[instance].Draining, qt.IsTrue, qt.Commentf("the endpoint was not listed in between"))
-	next := endpoint.Life("i-1", 200)
+	next := endpoint.InstanceID("i-1", 200)
 	d.Apply([]*endpoint.Endpoint{{ID: next, Service: "s"}}, nil, origin.Add(4*time.Second))
 	qt.Check(t, d.Read().Endpoints[next].Draining, qt.IsFalse, qt.Commentf("the announcement does not apply to the next instance"))
 }
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -33,15 +33,15 @@
 
 // Endpoint is one instance of an endpoint as it was last listed.
 type Endpoint struct {
-	ID        string // instance ID, see Life
-	Service   string
-	Address   string
-	Zone      string // data centre
-	Domain    string // fabric domain
-	Slots     int    // requests that it runs at once; zero if unknown
-	Draining  bool
-	ColdLeft  time.Duration // remaining cold time when it was listed
-	ColdUntil time.Time     // end of the cold time; zero if it is not cold
+	ID         string // instance ID, see Life
+	Service    string
+	Address    string
+	DataCentre string // data centre
+	Domain     string // fabric domain
+	Slots      int    // requests that it runs at once; zero if unknown
+	Draining   bool
+	ColdLeft   time.Duration // remaining cold time when it was listed
+	ColdUntil  time.Time     // end of the cold time; zero if it is not cold
 	// Models are the models that it is ready to run. An endpoint that has left its group lists none but can run the group's
 	// model again without loading it, so that model is kept here.
 	Models     []string
@@ -53,18 +53,18 @@
 // instanceSeparator separates the listed ID of an endpoint from the start time in an instance ID.
 const instanceSeparator = "@"
 
-// Life returns the ID of one instance of an endpoint. An endpoint may restart under the same listed ID, and then has no
+// InstanceID returns the ID of one instance of an endpoint. An endpoint may restart under the same listed ID, and then has no
 // state of its earlier instance. born is the start of the instance in Unix milliseconds by the endpoint's own clock; if it is
 // zero, the endpoint does not report its start and the listed ID is the instance ID.
-func Life(listed string, born int64) string {
+func InstanceID(listed string, born int64) string {
 	if born == 0 {
 		return listed
 	}
 	return listed + instanceSeparator + strconv.FormatInt(born, 10)
 }
 
-// Listed returns the ID under which the platform lists the endpoint with the given instance ID.
-func Listed(instance string) string {
+// ListedID returns the ID under which the platform lists the endpoint with the given instance ID.
+func ListedID(instance string) string {
 	listed, _, _ := strings.Cut(instance, instanceSeparator)
 	return listed
 }
--- a/internal/endpoint/snapshot.go
+++ b/internal/endpoint/snapshot.go
@@ -22,9 +22,9 @@
 
 // Gone is an endpoint that is no longer listed. It may have ended, be leaving, or be cut off from the platform.
 type Gone struct {
-	Endpoint *Endpoint
-	At       time.Time // when the removal was noticed
-	Over     bool      // the endpoint has restarted since, so this instance has certainly ended
+	Endpoint  *Endpoint
+	At        time.Time // when the removal was noticed
+	Restarted bool      // the endpoint has restarted since, so this instance has certainly ended
 }
 
 // maxCopyAge is the greatest age of a node's copy of an endpoint's entry.
@@ -36,6 +36,6 @@
 	if now.Before(e.ColdUntil) {
 		return true
 	}
-	back, known := s.Returned[e.Zone]
+	back, known := s.Returned[e.DataCentre]
 	return known && now.Sub(back) < coldFor+s.beat+maxCopyAge
 }
--- a/internal/engine/model.go
+++ b/internal/engine/model.go
@@ -66,10 +66,10 @@
 	return m.pace() * m.Figures.readAll(mix.Tokens, mix.Squares)
 }
 
-// Bears returns how many requests per second of the given mix one group can take within the objective: the rate at which the
+// Capacity returns how many requests per second of the given mix one group can take within the objective: the rate at which the
 // first event of a large prompt is predicted to take two thirds of the objective, but at least the rate at which the group
 // reads prompts for three tenths of its time. predicted is false if nothing can be predicted.
-func (m *Model) Bears(mix Mix) (perSecond float64, predicted bool) {
+func (m *Model) Capacity(mix Mix) (perSecond float64, predicted bool) {
 	if !m.Figures.Known() || mix.PerSecond <= 0 || mix.Tokens <= 0 || mix.Objective <= 0 {
 		return 0, false
 	}
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -56,11 +56,11 @@
 
 func TestNothingIsPredictedWithoutFigures(t *testing.T) {
 	for name, m := range map[string]engine.Model{"without figures": {}, "with figures": {Figures: figures}} {
-		_, predicted := m.Bears(engine.Mix{})
+		_, predicted := m.Capacity(engine.Mix{})
 		qt.Check(t, predicted, qt.IsFalse, qt.Commentf(name))
 	}
 	m := engine.Model{}
-	_, predicted := m.Bears(uniformMix(10, 1000))
+	_, predicted := m.Capacity(uniformMix(10, 1000))
 	qt.Check(t, predicted, qt.IsFalse)
 }
 
@@ -82,7 +82,7 @@
 		tokens := rapid.Float64Range(50, 6000).Draw(t, "tokens")
 		mix := uniformMix(rapid.Float64Range(0.1, 500).Draw(t, "rate"), tokens)
 		mix.Objective = time.Duration(rapid.IntRange(20, 2000).Draw(t, "objective ms")) * time.Millisecond
-		capacity, predicted := m.Bears(mix)
+		capacity, predicted := m.Capacity(mix)
 		if !predicted || capacity < 0 {
 			t.Fatalf("capacity %v, predicted %v", capacity, predicted)
 		}
@@ -92,12 +92,12 @@
 		}
 		tighter := mix
 		tighter.Objective = mix.Objective * 3 / 4
-		if fewer, _ := m.Bears(tighter); fewer > capacity {
+		if fewer, _ := m.Capacity(tighter); fewer > capacity {
 			t.Fatalf("capacity %v with objective %v, but %v with objective %v", fewer, tighter.Objective, capacity, mix.Objective)
 		}
 		longer := uniformMix(mix.PerSecond, 2*tokens)
 		longer.Objective = mix.Objective
-		if fewer, _ := m.Bears(longer); fewer > capacity {
+		if fewer, _ := m.Capacity(longer); fewer > capacity {
 			t.Fatalf("capacity %v with prompts of %v tokens, but %v with %v tokens", fewer, 2*tokens, capacity, tokens)
 		}
 	})
--- a/internal/formation/need.go
+++ b/internal/formation/need.go
@@ -34,7 +34,7 @@
 // considered enough where a third of the answers were late.
 func prefillGroupsNeeded(e *route.Engine, m route.Model, mix engine.Mix) float64 {
 	group := engine.Model{Figures: e.Figures, Pace: m.Pace, Writers: targetUtilisation * float64(e.Slots)}
-	capacity, predicted := group.Bears(mix)
+	capacity, predicted := group.Capacity(mix)
 	if !predicted {
 		return 0
 	}
--- a/internal/formation/view.go
+++ b/internal/formation/view.go
@@ -52,7 +52,7 @@
 
 // isDown reports whether the endpoint does not answer, because it is dead or unreachable.
 func (v *View) isDown(id string) bool {
-	if v.Snapshot.Gone[id].Over {
+	if v.Snapshot.Gone[id].Restarted {
 		return true
 	}
 	c, ok := v.Contacts[id]
@@ -68,7 +68,7 @@
 
 // isDead reports whether the endpoint has certainly ended.
 func (v *View) isDead(id string) bool {
-	if v.Snapshot.Gone[id].Over {
+	if v.Snapshot.Gone[id].Restarted {
 		return true
 	}
 	c, ok := v.Contacts[id]
--- a/internal/gateway/active_request.go
+++ b/internal/gateway/active_request.go
@@ -37,7 +37,7 @@
 	begun    bool     // the head of a stream has been passed on to the caller
 	lastID   string   // ID of the last event passed on
 
-	requestLog   Story
+	requestLog   RequestLog
 	delivery     delivery
 	unsuccessful bool // failed, refused or cut off
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -63,7 +63,7 @@
 		place.RecordFirstEvent(now.Sub(sent), now)
 		f.reportAnswered(now)
 	}
-	err = f.exchange.Whole(reply, body)
+	err = f.exchange.WriteAnswer(reply, body)
 	f.delivery.record(now)
 	f.unsuccessful = err != nil || head.Status >= minServerErrorStatus
 	f.gateway.metrics.recordAnswer(head.Status, now.Sub(f.request.Received))
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -8,12 +8,12 @@
 type Exchange interface {
 	// Send sends the request and returns without waiting for the answer. The error is a *verdict.Error.
 	Send(ctx context.Context, a Attempt) (Reply, error)
-	// Whole passes on a complete answer that is not a stream.
-	Whole(r Reply, body []byte) error
-	// Begin passes on the head of an answer whose events follow.
-	Begin(r Reply) error
-	// Event passes one event on.
-	Event(e Event) error
+	// WriteAnswer passes on a complete answer that is not a stream.
+	WriteAnswer(r Reply, body []byte) error
+	// BeginStream passes on the head of an answer whose events follow.
+	BeginStream(r Reply) error
+	// WriteEvent passes one event on.
+	WriteEvent(e Event) error
 	// Refuse answers the caller with a refusal of the gateway itself.
 	Refuse(r Refusal)
 	// Abort cuts the answer off so that the caller can tell that it is incomplete.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,7 +57,7 @@
 
 // Serve serves one request and answers it through x.
 func (g *Gateway) Serve(ctx context.Context, r *Request, x Exchange) {
-	f := &activeRequest{gateway: g, request: r, exchange: x, requestLog: g.Story(r.ID)}
+	f := &activeRequest{gateway: g, request: r, exchange: x, requestLog: g.RequestLog(r.ID)}
 	defer f.finish()
 	if refusal := g.admit(f); refusal != nil {
 		f.refuse(*refusal)
@@ -68,8 +68,8 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if r.Patience > 0 {
-		timeout = min(timeout, r.Patience)
+	if r.CallerTimeout > 0 {
+		timeout = min(timeout, r.CallerTimeout)
 	}
 	f.deadline = r.Received.Add(timeout)
 	ctx, cancel := clock.WithDeadline(ctx, f.deadline)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -59,14 +59,17 @@
 	return &reply{script: s}, nil
 }
 
-func (x *exchange) Whole(r gateway.Reply, body []byte) error {
+func (x *exchange) WriteAnswer(r gateway.Reply, body []byte) error {
 	x.status, x.body = r.(*reply).script.head.Status, string(body)
 	return nil
 }
-func (x *exchange) Begin(r gateway.Reply) error { x.status = r.(*reply).script.head.Status; return nil }
-func (x *exchange) Event(e gateway.Event) error { x.events = append(x.events, e.ID); return nil }
-func (x *exchange) Refuse(r gateway.Refusal)    { x.refusal = &r }
-func (x *exchange) Abort()                      { x.aborted = true }
+func (x *exchange) BeginStream(r gateway.Reply) error {
+	x.status = r.(*reply).script.head.Status
+	return nil
+}
+func (x *exchange) WriteEvent(e gateway.Event) error { x.events = append(x.events, e.ID); return nil }
+func (x *exchange) Refuse(r gateway.Refusal)         { x.refusal = &r }
+func (x *exchange) Abort()                           { x.aborted = true }
 
 // waitUntil sleeps until the given time and returns ErrNotYet.
 func waitUntil(until time.Time) error {
@@ -125,7 +128,7 @@
 	}
 }
 
-func (s *testGateway) newRequestLog(string) gateway.Story {
+func (s *testGateway) newRequestLog(string) gateway.RequestLog {
 	s.lastLog = &requestLog{}
 	return s.lastLog
 }
@@ -156,7 +159,7 @@
 		Table: func() *route.Table { return s.table }, Proof: func() time.Time { return s.proof }, ProofLimit: 5 * time.Second,
 		Picker:     picker.New(picker.Options{Directory: d, Others: noOthers, Retiring: func(time.Time) map[string]bool { return nil }, Lost: func(string, time.Time) bool { return s.lost }}),
 		Quarantine: s.quarantine, Inquiry: s.inquiry(d),
-		Limits: retry.Limits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Nodes: func() retry.Nodes { return retry.Nodes{All: 1, Busy: 1} }, Story: s.newRequestLog, Scope: tally.NoopScope,
+		Limits: retry.Limits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Nodes: func() retry.Nodes { return retry.Nodes{All: 1, Busy: 1} }, RequestLog: s.newRequestLog, Scope: tally.NoopScope,
 	})
 	return s
 }
@@ -312,7 +315,7 @@
 	serve := func() *exchange {
 		x := &exchange{scripts: []script{{silent: true}, {head: streamHead, events: []string{"1"}}}}
 		// Shorter than the timeout of the first event, which applies while the group is not known to be lost.
-		r := &gateway.Request{ID: "r", Host: "h", Path: "/stream/a", Credential: "key", Model: "m", Received: time.Now(), Patience: 1400 * time.Millisecond}
+		r := &gateway.Request{ID: "r", Host: "h", Path: "/stream/a", Credential: "key", Model: "m", Received: time.Now(), CallerTimeout: 1400 * time.Millisecond}
 		s.gateway.Serve(context.Background(), r, x)
 		return x
 	}
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -25,12 +25,12 @@
 	Inquiry    *quarantine.Investigator
 	Limits     retry.Limits
 	Nodes      func() retry.Nodes
-	Story      func(id string) Story // returns the log of a new request
+	RequestLog func(id string) RequestLog // returns the log of a new request
 	Scope      tally.Scope
 }
 
-// Story is the log of one request, with an entry for each decision on it.
-type Story interface {
+// RequestLog is the log of one request, with an entry for each decision on it.
+type RequestLog interface {
 	// Decision logs a decision; pairs are alternating keys and values.
 	Decision(event string, failure bool, pairs ...any)
 	// End ends the log. With remarkable set the request is logged in full even if it is not one of the sampled requests.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -13,8 +13,8 @@
 	Credential string
 	Model      string
 	// PromptTokens is the length of the prompt in tokens; zero if unknown.
-	PromptTokens int
-	ResumeAfter  string // ID of the last event that the caller has received; empty for a new stream
-	Received     time.Time
-	Patience     time.Duration // how long the caller waits for the answer; zero if it did not say
+	PromptTokens  int
+	ResumeAfter   string // ID of the last event that the caller has received; empty for a new stream
+	Received      time.Time
+	CallerTimeout time.Duration // how long the caller waits for the answer; zero if it did not say
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -50,7 +50,7 @@
 		return f.nonStreamAnswer(ctx, place, reply, head)
 	}
 	if !f.begun {
-		if err := f.exchange.Begin(reply); err != nil {
+		if err := f.exchange.BeginStream(reply); err != nil {
 			f.log("caller lost", false, "err", err)
 			return false
 		}
@@ -85,7 +85,7 @@
 		f.fail(ctx, err.Error())
 		return false
 	}
-	err = f.exchange.Whole(reply, body)
+	err = f.exchange.WriteAnswer(reply, body)
 	f.gateway.metrics.recordAnswer(head.Status, clock.Since(f.request.Received))
 	f.unsuccessful = true
 	f.log("answered", true, "endpoint", place.Endpoint.ID, "status", head.Status, "sends", f.sends, "err", err)
@@ -210,7 +210,7 @@
 			return err
 		}
 		s.recordEvent(clock.Now())
-		if err := s.active.exchange.Event(e); err != nil {
+		if err := s.active.exchange.WriteEvent(e); err != nil {
 			return errCallerGone
 		}
 		if e.ID != "" {
--- a/internal/picker/candidate.go
+++ b/internal/picker/candidate.go
@@ -66,7 +66,7 @@
 	var out []candidate
 	median := p.medianGap(w, snapshot)
 	for _, g := range snapshot.Groups {
-		if g.Service != w.Service || g.Model != w.Model || w.excludes(g.Name) || retiring[g.Name] || !p.usable(snapshot, g, w.Size) || snapshot.Evacuated[g.Head.Zone] {
+		if g.Service != w.Service || g.Model != w.Model || w.excludes(g.Name) || retiring[g.Name] || !p.usable(snapshot, g, w.Size) || snapshot.Evacuated[g.Head.DataCentre] {
 			continue
 		}
 		h := p.health[g.Name]
@@ -98,7 +98,7 @@
 }
 
 // isRemote reports whether the endpoint is in another data centre.
-func (p *Picker) isRemote(e *endpoint.Endpoint) bool { return e.Zone != p.options.Zone }
+func (p *Picker) isRemote(e *endpoint.Endpoint) bool { return e.DataCentre != p.options.DataCentre }
 
 // usable reports whether the head takes requests and all members of the group have been ready at the same time. Where the
 // directory lists only heads, an open group is enough: the leader opens a group only once all its members are ready.
--- a/internal/picker/cold_test.go
+++ b/internal/picker/cold_test.go
@@ -24,10 +24,10 @@
 func newColdFleet(nodes, delay int) *coldFleet {
 	f := &coldFleet{delay: delay}
 	directory := endpoint.NewDirectory(time.Second)
-	directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", Zone: "near", ColdLeft: time.Hour}}, nil, time.Now())
+	directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", DataCentre: "near", ColdLeft: time.Hour}}, nil, time.Now())
 	for i := range nodes {
 		f.pickers = append(f.pickers, picker.New(picker.Options{
-			Zone: "near", Directory: directory, Others: func(time.Time) *gossip.Totals { return f.others(i) },
+			DataCentre: "near", Directory: directory, Others: func(time.Time) *gossip.Totals { return f.others(i) },
 			Retiring: func(time.Time) map[string]bool { return nil },
 		}))
 	}
--- a/internal/picker/observe.go
+++ b/internal/picker/observe.go
@@ -121,8 +121,8 @@
 		h.suspectSince = now
 	}
 	h.backOffStall(now)
-	if firstStall && p.Group != "" && p.picker.options.Doubted != nil {
-		p.picker.options.Doubted()
+	if firstStall && p.Group != "" && p.picker.options.OnStall != nil {
+		p.picker.options.OnStall()
 	}
 }
 
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -25,14 +25,14 @@
 
 // Options configures a Picker.
 type Options struct {
-	Zone      string // this node's data centre
-	Directory *endpoint.Directory
+	DataCentre string // this node's data centre
+	Directory  *endpoint.Directory
 	// Others returns the totals of what the other nodes have reported, such as their loads and the groups they suspect.
 	Others func(now time.Time) *gossip.Totals
 	// Retiring returns the replica groups that the leader is about to end.
 	Retiring func(now time.Time) map[string]bool
-	// Doubted is called when a replica group begins to stall at this node; it must not block. It may be nil.
-	Doubted func()
+	// OnStall is called when a replica group begins to stall at this node; it must not block. It may be nil.
+	OnStall func()
 	// Limits holds the rate limits that endpoints announce; nil for a table private to the Picker.
 	Limits *ratelimit.Table
 	// Lost reports whether the leader has found that a replica group has lost a member. It may be nil.
@@ -188,8 +188,8 @@
 	return h
 }
 
-// Review grants places to waiting requests after a change of the directory or of the other nodes' loads.
-func (p *Picker) Review() {
+// GrantWaiting grants places to waiting requests after a change of the directory or of the other nodes' loads.
+func (p *Picker) GrantWaiting() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grant(clock.Now())
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -26,7 +26,7 @@
 func newFleet() *fleet {
 	f := &fleet{directory: endpoint.NewDirectory(time.Second), retiring: map[string]bool{}}
 	f.picker = picker.New(picker.Options{
-		Zone: "near", Directory: f.directory,
+		DataCentre: "near", Directory: f.directory,
 		Others: func(time.Time) *gossip.Totals {
 			total := gossip.NewTotals()
 			for _, p := range f.peers {
@@ -35,7 +35,7 @@
 			return total
 		},
 		Retiring: func(time.Time) map[string]bool { return f.retiring },
-		Doubted:  func() { f.stallReports++ },
+		OnStall:  func() { f.stallReports++ },
 	})
 	return f
 }
@@ -45,7 +45,7 @@
 	var members []*endpoint.Endpoint
 	for rank, state := range []endpoint.State{head, other} {
 		members = append(members, &endpoint.Endpoint{
-			ID: fmt.Sprintf("%s-%d", name, rank), Service: "lm", Zone: dataCentre, Models: []string{"m"},
+			ID: fmt.Sprintf("%s-%d", name, rank), Service: "lm", DataCentre: dataCentre, Models: []string{"m"},
 			Membership: &endpoint.Membership{Group: name, Epoch: 1, Rank: rank, State: state},
 		})
 	}
@@ -108,7 +108,7 @@
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
 	dataCentres := map[string]int{}
 	for range 8 {
-		dataCentres[f.acquire(t, want()).Endpoint.Zone]++
+		dataCentres[f.acquire(t, want()).Endpoint.DataCentre]++
 	}
 	qt.Check(t, dataCentres, qt.DeepEquals, map[string]int{"near": 4, "far": 4}, qt.Commentf("both groups are filled"))
 	first := newFleet()
@@ -216,8 +216,8 @@
 func TestStandaloneEndpoints(t *testing.T) {
 	f := newFleet()
 	f.directory.Apply([]*endpoint.Endpoint{
-		{ID: "good", Service: "plain", Zone: "far"}, {ID: "bad", Service: "plain", Zone: "near"},
-		{ID: "leaving", Service: "plain", Zone: "near", Draining: true},
+		{ID: "good", Service: "plain", DataCentre: "far"}, {ID: "bad", Service: "plain", DataCentre: "near"},
+		{ID: "leaving", Service: "plain", DataCentre: "near", Draining: true},
 	}, nil, time.Now())
 	w := &picker.Want{Service: "plain", Exclude: nil}
 	first := f.acquire(t, w)
@@ -246,9 +246,9 @@
 	f := newFleet()
 	f.group("g-near", "near", endpoint.Open, endpoint.Ready)
 	f.group("g-far", "far", endpoint.Open, endpoint.Ready)
-	f.directory.Apply([]*endpoint.Endpoint{{ID: "p-near", Service: "plain", Zone: "near"}}, nil, time.Now())
+	f.directory.Apply([]*endpoint.Endpoint{{ID: "p-near", Service: "plain", DataCentre: "near"}}, nil, time.Now())
 	f.directory.Evacuate(map[string]bool{"near": true}, time.Now())
-	f.directory.Apply([]*endpoint.Endpoint{{ID: "p-far", Service: "plain", Zone: "far"}}, nil, time.Now())
+	f.directory.Apply([]*endpoint.Endpoint{{ID: "p-far", Service: "plain", DataCentre: "far"}}, nil, time.Now())
 	for range 8 {
 		engine, plain := f.acquire(t, want()), f.acquire(t, &picker.Want{Service: "plain"})
 		qt.Check(t, engine.Group, qt.Equals, "g-far")
@@ -276,13 +276,13 @@
 		return 10
 	}
 	f := newFleet()
-	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", Zone: "near", ColdLeft: time.Hour}}, nil, time.Now())
+	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", DataCentre: "near", ColdLeft: time.Hour}}, nil, time.Now())
 	qt.Check(t, taken(f), qt.Equals, perSecond/4, qt.Commentf("the endpoint is listed as cold"))
 	f = newFleet()
-	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", Zone: "near"}}, nil, time.Now())
+	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", DataCentre: "near"}}, nil, time.Now())
 	qt.Check(t, taken(f), qt.Equals, 10)
 	f = newFleet()
-	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", Zone: "near"}}, nil, time.Now())
+	f.directory.Apply([]*endpoint.Endpoint{{ID: "p", Service: "plain", DataCentre: "near"}}, nil, time.Now())
 	f.directory.Evacuate(map[string]bool{"near": true}, time.Now())
 	qt.Check(t, taken(f), qt.Equals, 0)
 	f.directory.Evacuate(nil, time.Now())
--- a/internal/picker/sample_test.go
+++ b/internal/picker/sample_test.go
@@ -18,7 +18,7 @@
 	for i := range n {
 		id := fmt.Sprint(i)
 		list = append(list, &endpoint.Endpoint{
-			ID: id, Service: "lm", Zone: dataCentres[i%len(dataCentres)], Models: []string{"m"}, Membership: &endpoint.Membership{Group: id, Epoch: 1, State: endpoint.Open},
+			ID: id, Service: "lm", DataCentre: dataCentres[i%len(dataCentres)], Models: []string{"m"}, Membership: &endpoint.Membership{Group: id, Epoch: 1, State: endpoint.Open},
 		})
 	}
 	d := endpoint.NewDirectory(time.Second)
@@ -32,7 +32,7 @@
 	out := make(map[string]int)
 	for node := range nodes {
 		p := New(Options{
-			Zone: "a", Directory: d, Others: func(time.Time) *gossip.Totals { return others },
+			DataCentre: "a", Directory: d, Others: func(time.Time) *gossip.Totals { return others },
 			Retiring: func(time.Time) map[string]bool { return nil },
 		})
 		p.randomState = uint64(node) * 0x9e3779b97f4a7c15
@@ -68,14 +68,14 @@
 	const groups = 12
 	d := openGroups(groups, "a", "b")
 	for group := range choices(t, 200, d, gossip.NewTotals()) {
-		qt.Check(t, d.Read().Groups[group].Head.Zone, qt.Equals, "a")
+		qt.Check(t, d.Read().Groups[group].Head.DataCentre, qt.Equals, "a")
 	}
 	others := gossip.NewTotals()
 	for i := 0; i < groups; i += 2 {
 		others.Loads[gossip.KeyOf(fmt.Sprint(i))] = 10
 	}
 	for group := range choices(t, 200, d, others) {
-		qt.Check(t, d.Read().Groups[group].Head.Zone, qt.Equals, "b")
+		qt.Check(t, d.Read().Groups[group].Head.DataCentre, qt.Equals, "b")
 	}
 }
 
--- a/internal/picker/standalone.go
+++ b/internal/picker/standalone.go
@@ -20,7 +20,7 @@
 func (p *Picker) standaloneCandidates(w *Want, snapshot *endpoint.Snapshot, others *gossip.Totals, now time.Time) []candidate {
 	var out []candidate
 	for _, e := range snapshot.Services[w.Service] {
-		if e.Draining || w.excludes(e.ID) || snapshot.Evacuated[e.Zone] {
+		if e.Draining || w.excludes(e.ID) || snapshot.Evacuated[e.DataCentre] {
 			continue
 		}
 		h := p.health[e.ID]
--- a/internal/quarantine/investigator.go
+++ b/internal/quarantine/investigator.go
@@ -197,7 +197,7 @@
 	for _, other := range s.Endpoints {
 		sharesDomain := other.Domain == e.Domain
 		if e.Domain == "" {
-			sharesDomain = other.Zone == e.Zone
+			sharesDomain = other.DataCentre == e.DataCentre
 		}
 		switch {
 		case !sharesDomain || other.ID == e.ID || other.Draining:
--- a/internal/quarantine/investigator_test.go
+++ b/internal/quarantine/investigator_test.go
@@ -29,7 +29,7 @@
 	d := &domain{findings: make(map[string]quarantine.ProbeResult)}
 	directory := endpoint.NewDirectory(time.Second)
 	for i := range size {
-		d.endpoints = append(d.endpoints, &endpoint.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Zone: "z", Domain: name})
+		d.endpoints = append(d.endpoints, &endpoint.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", DataCentre: "z", Domain: name})
 	}
 	directory.Apply(d.endpoints, nil, time.Now())
 	d.Investigator = quarantine.Investigator{Table: quarantine.NewTable(), Directory: directory, Probe: d.ask, OnEnding: func(bool) {}, Logger: log.NewNopLogger()}
@@ -140,7 +140,7 @@
 		d := newDomain("d", 5)
 		for life := range 3 {
 			restarted := *d.endpoints[0]
-			restarted.ID = endpoint.Life(restarted.ID, int64(100+life))
+			restarted.ID = endpoint.InstanceID(restarted.ID, int64(100+life))
 			d.Directory.Apply([]*endpoint.Endpoint{&restarted}, nil, time.Now())
 			d.findings[restarted.ID] = quarantine.Ended
 			d.Failed(&restarted, poison, false)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -20,7 +20,7 @@
 func EndingOf(e *endpoint.Endpoint, at time.Time) Ending {
 	domain := "domain/" + e.Domain
 	if e.Domain == "" {
-		domain = "data centre/" + e.Zone
+		domain = "data centre/" + e.DataCentre
 	}
 	return Ending{Life: lifeHash(e), Domain: hash(domain), At: at}
 }
--- a/internal/server/changes.go
+++ b/internal/server/changes.go
@@ -72,7 +72,7 @@
 	if len(changed)+len(removed) > 0 {
 		n.directory.Apply(changed, removed, now)
 		n.controller.Wake()
-		n.picker.Review()
+		n.picker.GrantWaiting()
 	}
 	// Nodes that pull from this one learn at once that there are changes. If this node does not watch the store itself, the
 	// others get the changes from the same source as it does.
@@ -100,7 +100,7 @@
 		dataCentres[strings.TrimPrefix(o.Key, keys.Evacuations)] = true
 	}
 	n.directory.Evacuate(dataCentres, clock.Now())
-	n.picker.Review()
+	n.picker.GrantWaiting()
 	_ = level.Info(n.logger).Log("msg", "data centres out of use", "data_centres", slices.Sorted(maps.Keys(dataCentres)))
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -139,7 +139,7 @@
 	n.rates = ratelimit.NewTable(n.started)
 	n.rates.OnChange = n.limitChanged
 	n.picker = picker.New(picker.Options{
-		Limits: n.rates, Zone: s.DataCentre, Directory: n.directory, Others: n.gossip.Others, Retiring: n.retiring, Lost: n.lost, Doubted: n.gossip.Kick,
+		Limits: n.rates, DataCentre: s.DataCentre, Directory: n.directory, Others: n.gossip.Others, Retiring: n.retiring, Lost: n.lost, OnStall: n.gossip.Kick,
 	})
 	ttl := s.LeaseTTL()
 	n.keeper = holder.NewKeeper(n.platform.Objects, leaseName, s.VM, ttl, ttl/leaseMarginDivisor, n.wantsLead, logger)
@@ -153,9 +153,9 @@
 		Table: n.table.Load, Proof: func() time.Time { return n.follower.Current(keys.Accepted) }, ProofLimit: s.CredentialProof(),
 		ProofOptional: !s.CredentialProofRequired,
 		Picker:        n.picker, Quarantine: n.quarantine, Inquiry: n.inquiry, Limits: retry.Limits{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow()},
-		Nodes: n.nodeCounts,
-		Story: func(id string) gateway.Story { return decisions.Request(id) },
-		Scope: n.scope,
+		Nodes:      n.nodeCounts,
+		RequestLog: func(id string) gateway.RequestLog { return decisions.Request(id) },
+		Scope:      n.scope,
 	})
 	return n
 }
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -95,7 +95,7 @@
 	case p.Lease.Version > 0:
 		n.keeper.Told(p.Lease.Version, lease.Record{Holder: p.VM, Epoch: p.LeaderEpoch, TTLMillis: p.Lease.Term.Milliseconds()})
 	}
-	n.picker.Review()
+	n.picker.GrantWaiting()
 }
 
 // retiring returns the names of the groups that the leader is about to end.
@@ -126,7 +126,7 @@
 // centre of which no node is heard any more counts as heard: with packets passing in one direction only, it goes on serving
 // while it seems silent to all other data centres, and the members of its group must not join other groups meanwhile.
 func (n *Server) heardByOthers(ctx context.Context, e *endpoint.Endpoint) bool {
-	if n.gossip.LostContact(e.Zone, clock.Now()) {
+	if n.gossip.LostContact(e.DataCentre, clock.Now()) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
--- a/test/fleet/engines_test.go
+++ b/test/fleet/engines_test.go
@@ -118,7 +118,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders++
-	w := e.workers[endpoint.Listed(o.Endpoint.ID)]
+	w := e.workers[endpoint.ListedID(o.Endpoint.ID)]
 	group := w.entry.Group
 	mine := group != nil && group.Name == o.Group && group.Epoch == o.Epoch
 	switch o.Kind {
@@ -127,7 +127,7 @@
 			return formation.Fenced
 		}
 		w.seen = o.Epoch
-		rank := slices.IndexFunc(o.Members, func(id string) bool { return endpoint.Listed(id) == w.id })
+		rank := slices.IndexFunc(o.Members, func(id string) bool { return endpoint.ListedID(id) == w.id })
 		w.entry.Group = &membership{o.Group, o.Epoch, rank, string(endpoint.Joining)}
 		e.tell(w)
 		time.AfterFunc(loadTime, func() {
