--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -99,13 +99,13 @@
 	if err != nil {
 		return nil, err
 	}
-	n := NewOver(t, s, newPlatform, logger)
+	n := NewWithTransport(t, s, newPlatform, logger)
 	n.listeners = l
 	return n, nil
 }
 
-// NewOver creates a process that communicates with other nodes over t and has no sockets for callers.
-func NewOver(t Transport, s *settings.Gateway, newPlatform NewPlatform, logger log.Logger) *Server {
+// NewWithTransport creates a process that communicates with other nodes over t and has no sockets for callers.
+func NewWithTransport(t Transport, s *settings.Gateway, newPlatform NewPlatform, logger log.Logger) *Server {
 	n := &Server{
 		settings: s, logger: logger, started: clock.Now(), transport: t, calls: httpcall.NewClient(), directory: endpoint.NewDirectory(s.EndpointBeat()),
 		peerCaller: gossip.NewCaller(t.Dial),
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -97,7 +97,7 @@
 		return p
 	}
 	t := server.Transport{Datagrams: l.port, Calls: l.port.Listener(), Dial: l.port.Dial}
-	return server.NewOver(t, s, newPlatform, log.With(f.logger, "vm", s.VM))
+	return server.NewWithTransport(t, s, newPlatform, log.With(f.logger, "vm", s.VM))
 }
 
 // killAll ends all processes without a word: nothing that they still say arrives.
