--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -31,7 +31,7 @@
 }
 
 type storedObservation struct {
-	Look
+	Observation
 	stored   time.Time
 	sequence uint64
 }
@@ -52,7 +52,7 @@
 // Put stores an observation unless a later one by the same observer is stored, and reports whether it changed the
 // table. Copies of one observation that arrived over different links are merged: each group gets the latest
 // expiry time, since each copy's is a safe bound.
-func (t *Table) Put(l Look, now time.Time) bool {
+func (t *Table) Put(l Observation, now time.Time) bool {
 	s := t.shard(l.Domain)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	if ok && held.Sequence > l.Sequence {
 		return false
 	}
-	if ok && held.Sequence == l.Sequence && !mergeExpiries(&l, held.Look) {
+	if ok && held.Sequence == l.Sequence && !mergeExpiries(&l, held.Observation) {
 		return false
 	}
 	t.mu.Lock()
@@ -75,7 +75,7 @@
 
 // mergeExpiries sets the expiry time of each group in l to the later of those in l and held. It reports whether
 // that of l was the later one for any group.
-func mergeExpiries(l *Look, held Look) bool {
+func mergeExpiries(l *Observation, held Observation) bool {
 	if len(l.Groups) != len(held.Groups) {
 		return false
 	}
@@ -108,21 +108,21 @@
 }
 
 // Since returns the observations stored after the given sequence number of the table, and the newest one.
-func (t *Table) Since(sequence uint64) ([]Look, uint64) {
+func (t *Table) Since(sequence uint64) ([]Observation, uint64) {
 	t.mu.Lock()
 	newest := t.sequence
 	t.mu.Unlock()
 	if newest == sequence {
 		return nil, newest
 	}
-	var out []Look
+	var out []Observation
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.RLock()
 		for _, observers := range s.observations {
 			for _, l := range observers {
 				if l.sequence > sequence && l.sequence <= newest {
-					out = append(out, l.Look)
+					out = append(out, l.Observation)
 				}
 			}
 		}
--- a/internal/holder/keeper.go
+++ b/internal/holder/keeper.go
@@ -59,15 +59,15 @@
 	return k.lease.Latest()
 }
 
-// Told records the object version and the record of the lease that its holder reported to this node.
-func (k *Keeper) Told(version int64, record lease.Record) {
+// Reported records the object version and the record of the lease that its holder reported to this node.
+func (k *Keeper) Reported(version int64, record lease.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lease.Reported(version, record, clock.Now())
 }
 
-// GivenUp records that the node by has reported that it does not hold the lease.
-func (k *Keeper) GivenUp(by string) {
+// Disclaimed records that the node by has reported that it does not hold the lease.
+func (k *Keeper) Disclaimed(by string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lease.Disclaimed(by)
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -154,7 +154,7 @@
 
 func (o *Observer) publish(domain string, vms map[string]replica.VMView) {
 	now := clock.Now()
-	observation := evidence.Look{Domain: domain, Observer: peer.ObserverName(o.fleet.Members.Self(now)), Near: true}
+	observation := evidence.Observation{Domain: domain, Observer: peer.ObserverName(o.fleet.Members.Self(now)), SameDataCentre: true}
 	if a, _, ok := o.book.Get(domain); ok {
 		observation.Generation = a.Generation
 		for _, g := range a.Groups {
--- a/internal/peer/link_client.go
+++ b/internal/peer/link_client.go
@@ -82,7 +82,7 @@
 	now := clock.Now()
 	for _, e := range down.Evidence {
 		look := lookFromWire(e, asOf)
-		look.Near = l.near && l.nearObserver(look.Observer)
+		look.SameDataCentre = l.near && l.nearObserver(look.Observer)
 		l.fleet.Looks.Put(look, now)
 	}
 	l.takeMembers(down.Members, asOf)
--- a/internal/peer/link_server.go
+++ b/internal/peer/link_server.go
@@ -124,7 +124,7 @@
 	now := clock.Now()
 	for _, e := range up.Evidence {
 		look := lookFromWire(e, asOf)
-		look.Near = true
+		look.SameDataCentre = true
 		l.fleet.Looks.Put(look, now)
 		for _, r := range e.Vms {
 			l.fleet.Reports.Put(r.Vm, reportFromWire(r, asOf))
@@ -160,13 +160,15 @@
 	l.looks = sequence
 	near := l.near()
 	for _, look := range looks {
-		if (near || look.Near) && !l.own(look) {
+		if (near || look.SameDataCentre) && !l.own(look) {
 			down.Evidence = append(down.Evidence, lookToWire(look, now))
 		}
 	}
 }
 
-func (l *linkServer) own(look evidence.Look) bool { return ObserverVM(look.Observer) == l.peerVM() }
+func (l *linkServer) own(look evidence.Observation) bool {
+	return ObserverVM(look.Observer) == l.peerVM()
+}
 
 func (l *linkServer) peerVM() string {
 	l.mu.Lock()
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -18,7 +18,7 @@
 }
 
 type outboxEntry struct {
-	look     evidence.Look
+	look     evidence.Observation
 	vms      map[string]replica.VMView
 	sequence uint64
 }
@@ -29,7 +29,7 @@
 }
 
 // Put replaces the look at its domain.
-func (o *Outbox) Put(look evidence.Look, vms map[string]replica.VMView) {
+func (o *Outbox) Put(look evidence.Observation, vms map[string]replica.VMView) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.sequence++
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -91,9 +91,9 @@
 	n.follower.EnqueueBeat(p)
 	switch {
 	case p.LeaderEpoch == 0:
-		n.keeper.GivenUp(p.VM)
+		n.keeper.Disclaimed(p.VM)
 	case p.Lease.Version > 0:
-		n.keeper.Told(p.Lease.Version, lease.Record{Holder: p.VM, Epoch: p.LeaderEpoch, TTLMillis: p.Lease.Term.Milliseconds()})
+		n.keeper.Reported(p.Lease.Version, lease.Record{Holder: p.VM, Epoch: p.LeaderEpoch, TTLMillis: p.Lease.Term.Milliseconds()})
 	}
 	n.picker.GrantWaiting()
 }
