--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -33,10 +33,10 @@
 
 // Endpoint is one instance of an endpoint as it was last listed.
 type Endpoint struct {
-	ID         string // instance ID, see Life
+	ID         string // instance ID, see InstanceID
 	Service    string
 	Address    string
-	DataCentre string // data centre
+	DataCentre string
 	Domain     string // fabric domain
 	Slots      int    // requests that it runs at once; zero if unknown
 	Draining   bool
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// publishGroups updates what Retiring and Lost return, and calls Told if either has gained a group.
+// publishGroups updates what Retiring and Lost return, and calls OnGroupsAdded if either has gained a group.
 func (c *Controller) publishGroups() {
 	var retiring, lost []string
 	for _, p := range c.planners {
--- a/internal/formation/engine.go
+++ b/internal/formation/engine.go
@@ -25,7 +25,7 @@
 
 // Engine sends probes and orders to endpoints.
 type Engine interface {
-	// Probe probes the endpoint for its state.
+	// Probe asks the endpoint for a status report.
 	Probe(ctx context.Context, e *endpoint.Endpoint) ProbeResult
 	// Order sends an order to its endpoint.
 	Order(ctx context.Context, o Order) Outcome
--- a/internal/gossip/identity.go
+++ b/internal/gossip/identity.go
@@ -4,7 +4,7 @@
 type Identity struct {
 	VM            string
 	Incarnation   string // differs at every start of the process
-	DataCentre    string // name of its data centre
+	DataCentre    string // name
 	CallerAddress string // where it serves callers
 	GossipAddress string // where it receives datagrams
 	PeerAddress   string // where it receives drpc calls
--- a/internal/picker/leaving_test.go
+++ b/internal/picker/leaving_test.go
@@ -24,14 +24,14 @@
 
 func TestRestartedEndpointGetsRequestsAfterItLeft(t *testing.T) {
 	f := newFleet()
-	alone := func(born int64) *endpoint.Endpoint {
+	instance := func(born int64) *endpoint.Endpoint {
 		return &endpoint.Endpoint{ID: endpoint.InstanceID("i-1", born), Service: "s"}
 	}
-	f.directory.Apply([]*endpoint.Endpoint{alone(1)}, nil, time.Now())
+	f.directory.Apply([]*endpoint.Endpoint{instance(1)}, nil, time.Now())
 	w := &picker.Want{Service: "s"}
 	f.acquire(t, w).RecordLeaving(time.Now())
 	_, err := f.picker.Acquire(context.Background(), w)
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("%v", err))
-	f.directory.Apply([]*endpoint.Endpoint{alone(2)}, nil, time.Now())
+	f.directory.Apply([]*endpoint.Endpoint{instance(2)}, nil, time.Now())
 	qt.Check(t, f.acquire(t, w).Endpoint.ID, qt.Equals, endpoint.InstanceID("i-1", 2))
 }
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -25,7 +25,7 @@
 
 // Options configures a Picker.
 type Options struct {
-	DataCentre string // this node's data centre
+	DataCentre string // of this node
 	Directory  *endpoint.Directory
 	// Others returns the totals of what the other nodes have reported, such as their loads and the groups they suspect.
 	Others func(now time.Time) *gossip.Totals
--- a/internal/quarantine/hold_syncer_test.go
+++ b/internal/quarantine/list_syncer_test.go
@@ -80,8 +80,8 @@
 	return infra.Applied, s.object.Version, nil
 }
 
-// runHoldSyncer runs a Keeper while it calls the functions in during, and for d after that. The Keeper leads in the given epoch,
-// or not at all if it is zero.
+// runHoldSyncer runs a HoldSyncer while it calls the functions in during, and for d after that. The HoldSyncer leads in the given
+// epoch, or not at all if it is zero.
 func (s *store) runHoldSyncer(table *quarantine.Table, epoch int64, d time.Duration, during ...func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/ratelimit/cold.go
+++ b/internal/ratelimit/cold.go
@@ -33,7 +33,7 @@
 	roundingDraw   float64   // random number in [0, 1) that decides how a fractional share is rounded
 }
 
-// NewColdLimiter returns a Cold without endpoints. Times passed to its methods must not be before start.
+// NewColdLimiter returns a ColdLimiter without endpoints. Times passed to its methods must not be before start.
 func NewColdLimiter(start time.Time) *ColdLimiter {
 	return &ColdLimiter{start: start, endpoints: make(map[gossip.EndpointKey]*coldEndpoint)}
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// observe does the work of Said except calling Changed, and reports whether the limit has changed.
+// observe does the work of RecordAnswer except calling OnChange, and reports whether the limit has changed.
 func (t *Table) observe(key gossip.EndpointKey, l Limit, sent, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/route/engine.go
+++ b/internal/route/engine.go
@@ -12,7 +12,7 @@
 	Models         []Model
 	LoadsPerSecond float64        // loads of weights that may begin per second, over all endpoints
 	LoadsAtOnce    int            // number of concurrent loads above which they slow each other down
-	FormationTime  time.Duration  // time in which a replica group is formed and opened
+	FormationTime  time.Duration  // until a new replica group opens
 	Figures        engine.Figures // published performance of the engines
 }
 
