--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -240,7 +240,7 @@
 	r.Avoid = p.choose.Ejected(p.model, now)
 	r.Speeds = p.choose.TakeSpeeds(p.model, now)
 	for name, q := range p.queues {
-		d := allocator.Demand{Workspace: name, Waiting: q.waiting.Len(), Wishes: q.wishes()}
+		d := allocator.Demand{Workspace: name, Waiting: q.waiting.Len(), Preferred: q.wishes()}
 		for key, s := range q.slots {
 			if s.running > 0 {
 				d.Running = append(d.Running, allocator.Places{Group: key.group, Birth: key.birth, Count: s.running})
--- a/internal/allocator/claim.go
+++ b/internal/allocator/claim.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// node is what is known of one entry node.
+// node is the allocator's state for one entry node: a gateway that accepts requests of callers.
 type node struct {
 	vm          string
 	incarnation string
-	heard       time.Time
-	number      uint64 // last grant sent
+	lastReport  time.Time
+	lastGrant   uint64 // number of the last grant sent
 	claims      map[string]*claim
 	avoid       []Ref
 }
 
-// claim is what one workspace holds at one node.
+// claim is the demand and the granted places of one workspace at one node. The maps hold numbers of places.
 type claim struct {
-	waiting int
-	reserve int
-	spare   int
-	demand  int // places it could use now or needed a moment ago
-	wishes  []Places
-	running map[groupKey]int
-	limit   map[groupKey]int // as last sent
-	held    map[groupKey]int // what the node may be using at most
+	waiting   int
+	reserve   int
+	spare     int
+	demand    int // places it can use now, or needed recently
+	preferred []Places
+	running   map[groupKey]int
+	limit     map[groupKey]int // limits in the last grant sent
+	held      map[groupKey]int // upper bound of the places that the node may be using
 }
 
-// reckon works the demand out. A place that is lent the moment it falls idle comes back only after the
-// borrower's request, so the next request would wait that long: what was needed a moment ago counts too.
-func (c *claim) reckon() {
+// updateDemand computes the demand. It includes the places needed recently: a place that is lent as soon as it
+// is idle comes back only when the borrower's request ends, so the workspace's next request would wait that long.
+func (c *claim) updateDemand() {
 	c.demand = c.waiting + c.reserve
 	for _, r := range c.running {
 		c.demand += r
@@ -43,7 +43,7 @@
 }
 
 func (n *node) grant() Grant {
-	out := Grant{Number: n.number}
+	out := Grant{Number: n.lastGrant}
 	for _, workspace := range slices.Sorted(maps.Keys(n.claims)) {
 		w := WorkspaceGrant{Workspace: workspace}
 		c := n.claims[workspace]
--- a/internal/allocator/demand.go
+++ b/internal/allocator/demand.go
@@ -1,11 +1,11 @@
 package allocator
 
-// Demand is one workspace's part of a Report.
+// Demand is the demand of one workspace in a Report. Waiting counts requests; Reserve and Spare count places.
 type Demand struct {
 	Workspace string
 	Waiting   int
-	Reserve   int // places it lately needed beyond those, kept for it within its share
-	Spare     int // places it would like beyond those, to start requests without asking
+	Reserve   int // places needed recently beyond those waiting and running; kept for the workspace, within its share
+	Spare     int // further places requested, so that new requests can start without a new grant
 	Running   []Places
-	Wishes    []Places // groups that some of the waiting requests prefer
+	Preferred []Places // number of waiting requests that prefer each group
 }
--- a/internal/allocator/grant.go
+++ b/internal/allocator/grant.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Grant is the answer to a Report: the places each workspace may use at that node.
+// Grant is the reply to a Report: the places that each workspace may use at that node.
 type Grant struct {
 	Number     uint64
-	Interval   time.Duration // report again after it, or sooner when a request waits
+	Interval   time.Duration // time until the node's next report; the node reports sooner when a request waits
 	Workspaces []WorkspaceGrant
 }
 
-// WorkspaceGrant is one workspace's part of a Grant.
+// WorkspaceGrant lists the places that one workspace may use, by group.
 type WorkspaceGrant struct {
 	Workspace string
 	Limits    []Places
--- a/internal/allocator/group.go
+++ b/internal/allocator/group.go
@@ -1,13 +1,13 @@
 package allocator
 
-// Group is a replica group as the allocator sees it.
+// Group is a replica group whose places are allocated.
 type Group struct {
 	ID     string
 	Birth  int64
-	Places int // requests it runs at a time; 0 while routers may not use it
+	Places int // maximum number of concurrent requests; 0 while routers must not use the group
 }
 
-// groupKey names one life of a group.
+// groupKey identifies one generation of a group, since a group ID may be used again.
 type groupKey struct {
 	id    string
 	birth int64
--- a/internal/allocator/group_state.go
+++ b/internal/allocator/group_state.go
@@ -2,8 +2,8 @@
 
 type groupState struct {
 	places     int
-	held       int // by all nodes and workspaces
+	held       int // places held by all nodes and workspaces
 	speed      speed
 	slow       bool
-	worthwhile int // how many requests must wait before a slow group is used
+	minWaiting int // a slow group is used, apart from probes, only while more requests than this wait
 }
--- a/internal/allocator/hold.go
+++ b/internal/allocator/held.go
@@ -1,6 +1,7 @@
 package allocator
 
-func (p *Pool) heldOf(key groupKey) int {
+// totalHeld returns how many places of the group all nodes hold.
+func (p *Pool) totalHeld(key groupKey) int {
 	total := 0
 	for _, n := range p.nodes {
 		for _, c := range n.claims {
@@ -10,7 +11,8 @@
 	return total
 }
 
-func (p *Pool) release(n *node) {
+// releaseNode subtracts the places that the node holds from those of the groups.
+func (p *Pool) releaseNode(n *node) {
 	for _, c := range n.claims {
 		for key, held := range c.held {
 			p.addHeld(key, -held)
@@ -24,32 +26,32 @@
 	}
 }
 
-// takeIn replaces what is known of the node by its report.
-func (p *Pool) takeIn(n *node, r Report) {
-	confirmed := r.Grant == n.number
+// applyReport replaces the recorded demand of the node by that of its report.
+func (p *Pool) applyReport(n *node, r Report) {
+	confirmed := r.Grant == n.lastGrant
 	n.avoid = r.Avoid
-	mentioned := make(map[string]bool, len(r.Workspaces))
+	reported := make(map[string]bool, len(r.Workspaces))
 	for _, d := range r.Workspaces {
-		mentioned[d.Workspace] = true
+		reported[d.Workspace] = true
 		c, ok := n.claims[d.Workspace]
 		if !ok {
 			c = &claim{limit: make(map[groupKey]int), held: make(map[groupKey]int)}
 			n.claims[d.Workspace] = c
 		}
-		c.waiting, c.reserve, c.spare, c.wishes = d.Waiting, d.Reserve, d.Spare, d.Wishes
+		c.waiting, c.reserve, c.spare, c.preferred = d.Waiting, d.Reserve, d.Spare, d.Preferred
 		c.running = make(map[groupKey]int, len(d.Running))
 		for _, places := range d.Running {
 			c.running[groupKey{places.Group, places.Birth}] = places.Count
 		}
-		c.reckon()
+		c.updateDemand()
 		p.reconcile(c, confirmed)
 	}
 	for workspace, c := range n.claims {
-		if mentioned[workspace] {
+		if reported[workspace] {
 			continue
 		}
-		c.waiting, c.reserve, c.spare, c.running, c.wishes = 0, 0, 0, nil, nil
-		c.reckon()
+		c.waiting, c.reserve, c.spare, c.running, c.preferred = 0, 0, 0, nil, nil
+		c.updateDemand()
 		p.reconcile(c, confirmed)
 		if len(c.held) == 0 && len(c.limit) == 0 {
 			delete(n.claims, workspace)
@@ -57,16 +59,17 @@
 	}
 }
 
-// reconcile updates what the node may hold: the confirmed limit, or what still runs beyond it.
+// reconcile updates how many places the node may be using: the limit or, if more, the running requests. Until
+// the node has confirmed the last grant, the number doesn't fall.
 func (p *Pool) reconcile(c *claim, confirmed bool) {
-	touched := make(map[groupKey]bool, len(c.held)+len(c.running))
+	affected := make(map[groupKey]bool, len(c.held)+len(c.running))
 	for key := range c.held {
-		touched[key] = true
+		affected[key] = true
 	}
 	for key := range c.running {
-		touched[key] = true
+		affected[key] = true
 	}
-	for key := range touched {
+	for key := range affected {
 		held := max(c.limit[key], c.running[key])
 		if !confirmed {
 			held = max(held, c.held[key])
--- a/internal/allocator/settle.go
+++ b/internal/allocator/limits.go
@@ -1,12 +1,12 @@
 package allocator
 
-// settle moves the claim's limits towards wanted places.
-func (p *Pool) settle(n *node, c *claim, wanted int, warm bool) {
+// adjustLimits moves the claim's limits towards the wanted number of places.
+func (p *Pool) adjustLimits(n *node, c *claim, wanted int, warm bool) {
 	have := 0
 	for key, limit := range c.limit {
 		g, ok := p.groups[key]
-		if ok && !g.open(p.waiting, p.now) {
-			have += c.running[key] // they end, and are not used again
+		if ok && !g.grantable(p.waiting, p.now) {
+			have += c.running[key] // these requests finish; their places are not used again
 			delete(c.limit, key)
 			continue
 		}
@@ -19,7 +19,7 @@
 	if have > wanted {
 		p.shrink(c, have-wanted)
 	}
-	have = p.favour(n, c, min(have, wanted), wanted, warm)
+	have = p.grantPreferred(n, c, min(have, wanted), wanted, warm)
 	if have < wanted {
 		p.grow(n, c, wanted-have, warm)
 	}
@@ -28,11 +28,11 @@
 	}
 }
 
-// shrink takes idle places back first, from the fullest groups; then places that will fall idle.
+// shrink revokes n places: first idle ones, from the most loaded groups, then places on which requests run.
 func (p *Pool) shrink(c *claim, n int) {
 	for _, idleOnly := range []bool{true, false} {
 		for n > 0 {
-			key, ok := p.fullest(c, idleOnly)
+			key, ok := p.mostLoaded(c, idleOnly)
 			if !ok {
 				break
 			}
@@ -45,10 +45,11 @@
 	}
 }
 
-func (p *Pool) fullest(c *claim, idleOnly bool) (groupKey, bool) {
+// mostLoaded returns the most loaded group of which the claim has a place, or an idle place if idleOnly is set.
+func (p *Pool) mostLoaded(c *claim, idleOnly bool) (groupKey, bool) {
 	var best groupKey
 	found := false
-	for _, key := range p.order {
+	for _, key := range p.sortedGroups {
 		limit := c.limit[key]
 		if limit == 0 || idleOnly && limit <= c.running[key] {
 			continue
@@ -60,10 +61,10 @@
 	return best, found
 }
 
-// grow grants free places of the emptiest groups.
+// grow grants up to more free places, each from the least loaded group.
 func (p *Pool) grow(n *node, c *claim, more int, warm bool) {
 	for ; more > 0; more-- {
-		key, ok := p.emptiest(n, c, warm)
+		key, ok := p.leastLoaded(n, c, warm)
 		if !ok {
 			return
 		}
@@ -74,13 +75,14 @@
 	}
 }
 
-func (p *Pool) emptiest(n *node, c *claim, warm bool) (groupKey, bool) {
+// leastLoaded returns the least loaded group of which the node may be granted one more place.
+func (p *Pool) leastLoaded(n *node, c *claim, warm bool) (groupKey, bool) {
 	var best groupKey
 	found := false
-	for _, key := range p.order {
+	for _, key := range p.sortedGroups {
 		g := p.groups[key]
-		ours := c.held[key] > c.limit[key] // held already: granting it again costs nobody
-		if !ours && (g.held >= g.places || !warm) || g.places == 0 || n.avoids(key) || !g.open(p.waiting, p.now) {
+		alreadyHeld := c.held[key] > c.limit[key] // the node still holds it, so no other node loses a place
+		if !alreadyHeld && (g.held >= g.places || !warm) || g.places == 0 || n.avoids(key) || !g.grantable(p.waiting, p.now) {
 			continue
 		}
 		if !found || p.load(key) < p.load(best) {
@@ -90,7 +92,7 @@
 	return best, found
 }
 
-// load is the held part of a group's places.
+// load returns the fraction of the group's places that is held.
 func (p *Pool) load(key groupKey) float64 {
 	g := p.groups[key]
 	return float64(g.held) / float64(max(1, g.places))
--- a/internal/allocator/pool.go
+++ b/internal/allocator/pool.go
@@ -1,7 +1,8 @@
-// Package allocator divides the places of one model's replica groups among workspaces and entry nodes.
+// Package allocator divides the places of one model's replica groups among workspaces and entry nodes. One
+// place lets one request run on a group; an entry node is a gateway that accepts requests of callers.
 //
-// A place is counted as held from the moment it is granted until the node has confirmed a later grant
-// without it and reports no request on it, so two nodes never hold one place.
+// A place counts as held from the moment it is granted until the node has confirmed a later grant without it
+// and reports no request running on it, so two nodes never hold the same place.
 package allocator
 
 import (
@@ -13,97 +14,98 @@
 	"moorrun.dev/moorrun/internal/shares"
 )
 
-// Lifetime is how long a node may use a grant after it asked for it.
-const Lifetime = 10 * time.Second
+// GrantLifetime is how long a node may use a grant, counted from when it sent its report.
+const GrantLifetime = 10 * time.Second
 
-// forgetMargin is added to Lifetime before a silent node's places are given to others.
-const forgetMargin = time.Second
+// expiryMargin is added to GrantLifetime before the places of a node that no longer reports are granted to others.
+const expiryMargin = time.Second
 
-// WarmUp is how long a new allocator grants nothing beyond what nodes already use, unless all of them
-// have reported: places granted by the allocator before it may still be in use. Nodes that use places
-// report several times within it.
+// WarmUp is the time during which a new allocator grants no places beyond those that nodes already use, unless
+// all nodes have reported: places granted by the previous allocator may still be in use. Nodes that use places
+// report several times within WarmUp.
 const WarmUp = 2 * time.Second
 
 // Pool is the allocator's state for one model. It does no I/O and reads no clock.
 type Pool struct {
-	started time.Time
-	groups  map[groupKey]*groupState
-	nodes   map[string]*node
-	order   []groupKey
-	inOrder []*node   // by VM
-	now     time.Time // of the report being answered
-	waiting int       // requests that wait, at that time
+	started      time.Time
+	groups       map[groupKey]*groupState
+	nodes        map[string]*node
+	sortedGroups []groupKey
+	sortedNodes  []*node   // sorted by VM
+	now          time.Time // time of the report being handled
+	waiting      int       // requests waiting on all nodes at that time
 }
 
-// NewPool returns the state of an allocator whose model has fallen to this node since that instant.
+// NewPool returns an allocator without groups or nodes. since is when this node became the model's allocator.
 func NewPool(since time.Time) *Pool {
 	return &Pool{started: since, groups: make(map[groupKey]*groupState), nodes: make(map[string]*node)}
 }
 
-// SetGroups replaces the groups; places of groups that are gone are no longer granted.
+// SetGroups replaces the groups; places of groups that are no longer listed are not granted any more.
 func (p *Pool) SetGroups(groups []Group) {
 	seen := make(map[groupKey]bool, len(groups))
-	p.order = p.order[:0]
+	p.sortedGroups = p.sortedGroups[:0]
 	for _, g := range groups {
 		key := groupKey{g.ID, g.Birth}
 		seen[key] = true
 		state, ok := p.groups[key]
 		if !ok {
-			state = &groupState{held: p.heldOf(key)}
+			state = &groupState{held: p.totalHeld(key)}
 			p.groups[key] = state
 		}
 		state.places = g.Places
-		p.order = append(p.order, key)
+		p.sortedGroups = append(p.sortedGroups, key)
 	}
 	for key := range p.groups {
 		if !seen[key] {
 			delete(p.groups, key)
 		}
 	}
-	slices.SortFunc(p.order, func(a, b groupKey) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(p.sortedGroups, func(a, b groupKey) int { return cmp.Compare(a.id, b.id) })
 }
 
-// Report takes in a node's demand and returns its grant. share gives a workspace's weight;
-// expected is how many nodes are live, which ends the warm-up early.
+// Report records a node's demand and returns its grant. share returns a workspace's weight; expected is the
+// number of live nodes: once that many have reported, the warm-up ends early.
 func (p *Pool) Report(r Report, share func(string) int, expected int, now time.Time) Grant {
-	p.forget(now)
-	n := p.node(r)
-	n.heard = now
-	p.takeIn(n, r)
+	p.expireNodes(now)
+	n := p.nodeFor(r)
+	n.lastReport = now
+	p.applyReport(n, r)
 	for _, s := range r.Speeds {
 		if g, ok := p.groups[groupKey{s.Group, s.Birth}]; ok {
 			g.speed.add(s, now)
 		}
 	}
 	if len(r.Speeds) > 0 {
-		p.judgeSpeeds()
+		p.classifySpeeds()
 	}
-	sums := p.sums(n)
+	demands := p.demandByWorkspace(n)
 	p.now = now
 	warm := now.Sub(p.started) >= WarmUp || len(p.nodes) >= expected
-	targets := p.targets(sums, share)
+	targets := p.targets(demands, share)
 	spare := p.spare()
 	for _, workspace := range slices.Sorted(maps.Keys(n.claims)) {
 		c := n.claims[workspace]
-		wanted := sums[workspace].part(c, targets[workspace])
+		wanted := demands[workspace].nodeTarget(c, targets[workspace])
 		if wanted >= c.demand {
 			extra := min(c.spare, spare)
 			wanted += extra
 			spare -= extra
 		}
-		p.settle(n, c, wanted, warm)
+		p.adjustLimits(n, c, wanted, warm)
 	}
-	n.number++
+	n.lastGrant++
 	return n.grant()
 }
 
-func (p *Pool) node(r Report) *node {
+// nodeFor returns the state of the node that sent the report; it is new if the VM runs another process now.
+func (p *Pool) nodeFor(r Report) *node {
 	n, ok := p.nodes[r.VM]
 	if ok && n.incarnation == r.Incarnation {
 		return n
 	}
-	if ok { // the process that held these places is gone, and its connections with it
-		p.release(n)
+	if ok { // a new process runs on the VM; the old one's requests ended with its connections
+		p.releaseNode(n)
 	}
 	n = &node{vm: r.VM, incarnation: r.Incarnation, claims: make(map[string]*claim)}
 	p.nodes[r.VM] = n
@@ -112,38 +114,40 @@
 }
 
 func (p *Pool) sortNodes() {
-	p.inOrder = slices.SortedFunc(maps.Values(p.nodes), func(a, b *node) int { return cmp.Compare(a.vm, b.vm) })
+	p.sortedNodes = slices.SortedFunc(maps.Values(p.nodes), func(a, b *node) int { return cmp.Compare(a.vm, b.vm) })
 }
 
-func (p *Pool) forget(now time.Time) {
+// expireNodes removes the nodes whose last grant has expired.
+func (p *Pool) expireNodes(now time.Time) {
 	for vm, n := range p.nodes {
-		if now.Sub(n.heard) > Lifetime+forgetMargin {
-			p.release(n)
+		if now.Sub(n.lastReport) > GrantLifetime+expiryMargin {
+			p.releaseNode(n)
 			delete(p.nodes, vm)
 			p.sortNodes()
 		}
 	}
 }
 
-// sum is the demand of one workspace over all nodes.
-type sum struct {
-	total int
-	ahead int // of the nodes before the one that reports
+// workspaceDemand is the demand of one workspace over all nodes, in places.
+type workspaceDemand struct {
+	total     int
+	preceding int // demand of the nodes that sort before the reporting node
 }
 
-// sums adds up the demand of each workspace, and the waiting requests, seen from the node that reports.
-func (p *Pool) sums(reporting *node) map[string]*sum {
-	out := make(map[string]*sum)
+// demandByWorkspace adds up the demand of each workspace for the reporting node, and counts the waiting requests
+// in p.waiting.
+func (p *Pool) demandByWorkspace(reporting *node) map[string]*workspaceDemand {
+	out := make(map[string]*workspaceDemand)
 	p.waiting = 0
-	for _, n := range p.inOrder {
+	for _, n := range p.sortedNodes {
 		for workspace, c := range n.claims {
 			s, ok := out[workspace]
 			if !ok {
-				s = &sum{}
+				s = &workspaceDemand{}
 				out[workspace] = s
 			}
 			if n.vm < reporting.vm {
-				s.ahead += c.demand
+				s.preceding += c.demand
 			}
 			s.total += c.demand
 			p.waiting += c.waiting
@@ -152,25 +156,26 @@
 	return out
 }
 
-// targets divides all places among the workspaces.
-func (p *Pool) targets(sums map[string]*sum, share func(string) int) map[string]int {
-	names := slices.Sorted(maps.Keys(sums))
-	wants := make([]shares.Want, len(names))
+// targets divides all places among the workspaces and returns the number of places of each.
+func (p *Pool) targets(demands map[string]*workspaceDemand, share func(string) int) map[string]int {
+	names := slices.Sorted(maps.Keys(demands))
+	requested := make([]shares.Demand, len(names))
 	for i, name := range names {
-		wants[i] = shares.Want{Share: share(name), Places: sums[name].total}
+		requested[i] = shares.Demand{Share: share(name), Places: demands[name].total}
 	}
 	out := make(map[string]int, len(names))
-	for i, places := range shares.MaxMin(p.capacity(), wants) {
+	for i, places := range shares.MaxMin(p.capacity(), requested) {
 		out[names[i]] = places
 	}
 	return out
 }
 
-// capacity is how many places can be granted; of a slow group that is not worth using, those in use.
+// capacity returns how many places can be granted. A slow group that is not worth using counts only with the
+// places in use.
 func (p *Pool) capacity() int {
 	total := 0
 	for _, g := range p.groups {
-		if g.open(p.waiting, p.now) {
+		if g.grantable(p.waiting, p.now) {
 			total += g.places
 		} else {
 			total += min(g.held, g.places)
@@ -179,7 +184,7 @@
 	return total
 }
 
-// spare is how many places may be lent ahead of demand: a quarter of the free ones.
+// spare returns how many places may be granted beyond demand: a quarter of the free ones.
 func (p *Pool) spare() int {
 	free := 0
 	for _, g := range p.groups {
@@ -190,16 +195,16 @@
 
 const spareDivisor = 4
 
-// part is the claim's part of its workspace's target, in proportion to the demand of each node. Cumulative
-// rounding gives every place to exactly one node.
-func (s *sum) part(own *claim, target int) int {
+// nodeTarget returns the reporting node's part of the workspace's target, in proportion to the demand of each
+// node. Rounding the cumulative sums assigns each place to exactly one node.
+func (s *workspaceDemand) nodeTarget(own *claim, target int) int {
 	if s.total <= target {
 		return own.demand
 	}
-	return (s.ahead+own.demand)*target/s.total - s.ahead*target/s.total
+	return (s.preceding+own.demand)*target/s.total - s.preceding*target/s.total
 }
 
-// Waiting returns how many requests wait over all nodes.
+// Waiting returns how many requests wait on all nodes.
 func (p *Pool) Waiting() int {
 	total := 0
 	for _, n := range p.nodes {
@@ -210,10 +215,10 @@
 	return total
 }
 
-// Overheld returns a group that more places are held of than it has, for the invariant check.
-// A group whose places were lowered, or that has just come back, may be over for a while.
-func (p *Pool) Overheld() (id string, held, places int, over bool) {
-	for _, key := range p.order {
+// Overcommitted returns a group of which more places are held than it has, for the invariant check. A group
+// whose places were lowered, or that has just come back, may be overcommitted for a while.
+func (p *Pool) Overcommitted() (id string, held, places int, over bool) {
+	for _, key := range p.sortedGroups {
 		g := p.groups[key]
 		if g.held > g.places && g.places > 0 {
 			return key.id, g.held, g.places, true
--- a/internal/allocator/pool_test.go
+++ b/internal/allocator/pool_test.go
@@ -17,7 +17,7 @@
 	places = 4
 )
 
-// entryNode is an entry node as its allocator's messages leave it.
+// entryNode simulates an entry node that applies the allocator's grants.
 type entryNode struct {
 	vm          string
 	incarnation int
@@ -77,7 +77,8 @@
 	}
 }
 
-func used(nodes []*entryNode) map[string]int {
+// placesInUse returns, by group, the places that the nodes may use or that run a request.
+func placesInUse(nodes []*entryNode) map[string]int {
 	out := map[string]int{}
 	for _, n := range nodes {
 		for _, w := range []string{"a", "b"} {
@@ -105,7 +106,9 @@
 	return 1
 }
 
-func TestNoPlaceIsHeldTwiceWhateverAnswersAreLost(t *testing.T) {
+// TestNoPlaceIsHeldTwiceWhenRepliesAreLost guards against granting more places than a group has when replies
+// are lost or a node's process is replaced, so that the allocator doesn't know which limits are in force.
+func TestNoPlaceIsHeldTwiceWhenRepliesAreLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		pool := allocator.NewPool(now)
@@ -122,26 +125,27 @@
 				n.finish(w)
 			case 2:
 				n.start(w)
-			case 3: // the answer is lost
+			case 3: // the reply is lost
 				pool.Report(n.report(), share, len(nodes), now)
-			case 4: // the process is replaced
+			case 4: // the node's process is replaced by a new one
 				fresh := newEntryNode(0)
 				fresh.vm, fresh.incarnation = n.vm, n.incarnation+1
 				*n = *fresh
 			default:
 				n.apply(pool.Report(n.report(), share, len(nodes), now))
 			}
-			for group, total := range used(nodes) {
+			for group, total := range placesInUse(nodes) {
 				if total > places {
-					t.Fatalf("%d places of group %s are held, it has %d", total, group, places)
+					t.Fatalf("%d places of group %s are held, but it has only %d", total, group, places)
 				}
 			}
 		}
 	})
 }
 
-// settle lets the nodes report in turn while every place is always wanted.
-func settle(pool *allocator.Pool, nodes []*entryNode, now time.Time, rounds int) {
+// runRounds lets the nodes report in turn. Requests start and finish between reports, so that places can move
+// between nodes and workspaces; more requests wait than there are places.
+func runRounds(pool *allocator.Pool, nodes []*entryNode, now time.Time, rounds int) {
 	for range rounds {
 		for _, n := range nodes {
 			n.apply(pool.Report(n.report(), share, len(nodes), now))
@@ -166,27 +170,27 @@
 	return total
 }
 
-func TestSharesHoldUnderAnySkewOfArrival(t *testing.T) {
-	const endless = 1 << 20
+func TestSharesAreKeptForAnyDistributionOfArrivals(t *testing.T) {
+	const backlog = 1 << 20
 	for _, skew := range []int{0, 25, 50, 100} {
 		t.Run(fmt.Sprint(skew), func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			pool := allocator.NewPool(now)
 			pool.SetGroups(allGroups())
 			nodes := []*entryNode{newEntryNode(0), newEntryNode(1)}
-			nodes[0].waiting["a"], nodes[1].waiting["a"] = endless*skew/100, endless*(100-skew)/100
-			nodes[0].waiting["b"], nodes[1].waiting["b"] = endless*(100-skew)/100, endless*skew/100
-			settle(pool, nodes, now, 60)
+			nodes[0].waiting["a"], nodes[1].waiting["a"] = backlog*skew/100, backlog*(100-skew)/100
+			nodes[0].waiting["b"], nodes[1].waiting["b"] = backlog*(100-skew)/100, backlog*skew/100
+			runRounds(pool, nodes, now, 60)
 			qt.Assert(t, held(nodes, "a"), qt.Equals, 9)
 			qt.Assert(t, held(nodes, "b"), qt.Equals, 3)
 			nodes[0].waiting["a"], nodes[1].waiting["a"] = 0, 0
-			settle(pool, nodes, now, 60)
-			qt.Assert(t, held(nodes, "b"), qt.Equals, groups*places, qt.Commentf("an idle share is lent whole"))
+			runRounds(pool, nodes, now, 60)
+			qt.Assert(t, held(nodes, "b"), qt.Equals, groups*places, qt.Commentf("all places of an idle workspace are lent to the other"))
 		})
 	}
 }
 
-func TestNewAllocatorGrantsNothingBeforeItKnowsWhatIsHeld(t *testing.T) {
+func TestNewAllocatorGrantsNothingDuringWarmUp(t *testing.T) {
 	now := time.Unix(1000, 0)
 	pool := allocator.NewPool(now)
 	pool.SetGroups(allGroups())
--- a/internal/allocator/ref.go
+++ b/internal/allocator/ref.go
@@ -1,6 +1,6 @@
 package allocator
 
-// Ref names one life of a group.
+// Ref identifies one generation of a group, since a group ID may be used again.
 type Ref struct {
 	Group string
 	Birth int64
--- a/internal/allocator/report.go
+++ b/internal/allocator/report.go
@@ -1,11 +1,11 @@
 package allocator
 
-// Report is one node's demand for one model.
+// Report is the demand of one node for one model.
 type Report struct {
 	VM          string
 	Incarnation string
-	Grant       uint64 // the last grant in force at the node
+	Grant       uint64 // number of the last grant that the node applied
 	Workspaces  []Demand
 	Speeds      []Speed
-	Avoid       []Ref // groups that fail at this node; it is granted no places of them
+	Avoid       []Ref // groups whose requests from this node fail; the node is granted no places of them
 }
--- a/internal/allocator/speed.go
+++ b/internal/allocator/speed.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// slowFactor is how many times the quickest group's first-token time makes a group slow.
+	// slowFactor is the multiple of the fastest group's time to first token above which a group is slow.
 	slowFactor = 2
-	// speedWeight is the part that one request's times have in a group's averages.
-	speedWeight = 0.2
-	// probeEvery is how often a slow group is given one request, to see whether it still is slow.
-	probeEvery = 5 * time.Second
-	// minSpeedSamples is how many requests a group must have served before it is judged.
+	// sampleWeight is the weight of one request in a group's moving averages.
+	sampleWeight = 0.2
+	// probeInterval is how often a slow group is given one request, to measure whether it is still slow.
+	probeInterval = 5 * time.Second
+	// minSpeedSamples is how many requests a group must have served before it can be classified as slow.
 	minSpeedSamples = 3
 )
 
-// Speed sums up how quickly a group has served requests at one node since its last report.
+// Speed sums the times in which a group served one node's requests since that node's last report.
 type Speed struct {
 	Group      string
 	Birth      int64
 	Requests   int
-	FirstToken time.Duration // sum over Requests
-	Service    time.Duration // sum over Requests
+	FirstToken time.Duration // time to first token, sum over Requests
+	Service    time.Duration // service time, sum over Requests
 }
 
-// speed is a group's averages over all nodes.
+// speed holds a group's moving averages over all nodes.
 type speed struct {
 	samples    int
 	firstToken float64 // seconds
 	service    float64 // seconds
-	probed     time.Time
+	lastSample time.Time
 }
 
 func (s *speed) add(r Speed, now time.Time) {
@@ -38,40 +38,40 @@
 	service := r.Service.Seconds() / float64(r.Requests)
 	weight := 1.0
 	if s.samples > 0 {
-		weight = min(1, speedWeight*float64(r.Requests))
+		weight = min(1, sampleWeight*float64(r.Requests))
 	}
 	s.firstToken += (first - s.firstToken) * weight
 	s.service += (service - s.service) * weight
 	s.samples += r.Requests
-	s.probed = now
+	s.lastSample = now
 }
 
-// judgeSpeeds finds the slow groups, and how many requests must wait before a slow group's places are worth
-// using: as many as the quick ones will start within the time that the slow one takes longer.
-func (p *Pool) judgeSpeeds() {
-	quickest, found := 0.0, false
+// classifySpeeds determines which groups are slow, and for each how many requests must wait before its places are
+// worth using: as many as the other groups start within the extra time to first token of the slow group.
+func (p *Pool) classifySpeeds() {
+	fastest, found := 0.0, false
 	for _, g := range p.groups {
-		if g.places > 0 && g.speed.samples >= minSpeedSamples && (!found || g.speed.firstToken < quickest) {
-			quickest, found = g.speed.firstToken, true
+		if g.places > 0 && g.speed.samples >= minSpeedSamples && (!found || g.speed.firstToken < fastest) {
+			fastest, found = g.speed.firstToken, true
 		}
 	}
-	starts := 0.0 // a second, by the quick groups
+	startsPerSecond := 0.0 // requests that the groups that aren't slow start per second
 	for _, g := range p.groups {
-		g.slow = found && g.speed.samples >= minSpeedSamples && g.speed.firstToken > slowFactor*quickest
+		g.slow = found && g.speed.samples >= minSpeedSamples && g.speed.firstToken > slowFactor*fastest
 		if !g.slow && g.places > 0 && g.speed.service > 0 {
-			starts += float64(g.places) / g.speed.service
+			startsPerSecond += float64(g.places) / g.speed.service
 		}
 	}
 	for _, g := range p.groups {
-		g.worthwhile = 0
+		g.minWaiting = 0
 		if g.slow {
-			g.worthwhile = int((g.speed.firstToken - quickest) * starts)
+			g.minWaiting = int((g.speed.firstToken - fastest) * startsPerSecond)
 		}
 	}
 }
 
-// open reports whether the group's places may be granted now: always, or for a slow group when enough
-// requests wait or it is time for a probe.
-func (g *groupState) open(waiting int, now time.Time) bool {
-	return !g.slow || waiting > g.worthwhile || g.held == 0 && now.Sub(g.speed.probed) > probeEvery
+// grantable reports whether places of the group may be granted now. Those of a slow group may only if enough
+// requests wait, or if nothing runs on it and a probe is due.
+func (g *groupState) grantable(waiting int, now time.Time) bool {
+	return !g.slow || waiting > g.minWaiting || g.held == 0 && now.Sub(g.speed.lastSample) > probeInterval
 }
--- a/internal/places/asker.go
+++ b/internal/places/asker.go
@@ -53,7 +53,7 @@
 		r.Grant = 0
 	}
 	if to.VM == self.VM {
-		return a.server.report(model, r, c, now), allocator.Lifetime, changed, nil
+		return a.server.report(model, r, c, now), allocator.GrantLifetime, changed, nil
 	}
 	request := reportToWire(model, r)
 	reply, err := a.caller.Demand(ctx, to.PeerAddress, request)
@@ -63,7 +63,7 @@
 	if reply.NotAllocator {
 		return allocator.Grant{}, 0, changed, errNotAllocator
 	}
-	return grantFromWire(reply), allocator.Lifetime, changed, nil
+	return grantFromWire(reply), allocator.GrantLifetime, changed, nil
 }
 
 // moved reports whether the model's allocator is another one than at the last call.
--- a/internal/places/convert.go
+++ b/internal/places/convert.go
@@ -18,7 +18,7 @@
 	}
 	for _, d := range r.Workspaces {
 		out.Workspaces = append(out.Workspaces, &peerpb.WorkspaceDemand{
-			Workspace: d.Workspace, Waiting: uint32(d.Waiting), Reserve: uint32(d.Reserve), Spare: uint32(d.Spare), Running: placesToWire(d.Running), Wishes: placesToWire(d.Wishes),
+			Workspace: d.Workspace, Waiting: uint32(d.Waiting), Reserve: uint32(d.Reserve), Spare: uint32(d.Spare), Running: placesToWire(d.Running), Wishes: placesToWire(d.Preferred),
 		})
 	}
 	return out
@@ -35,7 +35,7 @@
 	}
 	for _, d := range r.Workspaces {
 		out.Workspaces = append(out.Workspaces, allocator.Demand{
-			Workspace: d.Workspace, Waiting: int(d.Waiting), Reserve: int(d.Reserve), Spare: int(d.Spare), Running: placesFromWire(d.Running), Wishes: placesFromWire(d.Wishes),
+			Workspace: d.Workspace, Waiting: int(d.Waiting), Reserve: int(d.Reserve), Spare: int(d.Spare), Running: placesFromWire(d.Running), Preferred: placesFromWire(d.Wishes),
 		})
 	}
 	return out
@@ -44,7 +44,7 @@
 func micros(n uint64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 func grantToWire(g allocator.Grant) *peerpb.DemandReply {
-	out := &peerpb.DemandReply{Grant: g.Number, LifetimeMs: uint32(allocator.Lifetime.Milliseconds()), IntervalMs: uint32(g.Interval.Milliseconds())}
+	out := &peerpb.DemandReply{Grant: g.Number, LifetimeMs: uint32(allocator.GrantLifetime.Milliseconds()), IntervalMs: uint32(g.Interval.Milliseconds())}
 	for _, w := range g.Workspaces {
 		out.Workspaces = append(out.Workspaces, &peerpb.WorkspaceGrant{Workspace: w.Workspace, Limits: placesToWire(w.Limits)})
 	}
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -168,13 +168,13 @@
 
 // check holds that no group has more places held than it has, for longer than a change may take to settle.
 func (s *Server) check(p *lockedPool, now time.Time) {
-	id, held, places, over := p.pool.Overheld()
+	id, held, places, over := p.pool.Overcommitted()
 	if !over {
 		p.over = time.Time{}
 	} else if p.over.IsZero() {
 		p.over = now
 	}
-	settled := allocator.Lifetime + 2*time.Second
+	settled := allocator.GrantLifetime + 2*time.Second
 	s.checker.Hold(invariant.PlacesHeld, !over || now.Sub(p.over) < settled, func() []any {
 		return []any{"group", id, "held", held, "places", places}
 	})
--- a/internal/places/splitter.go
+++ b/internal/places/splitter.go
@@ -39,5 +39,5 @@
 		}
 		return out
 	}
-	return s.server.reportOn(model, groups, r, c, 1, now), allocator.Lifetime, false, nil
+	return s.server.reportOn(model, groups, r, c, 1, now), allocator.GrantLifetime, false, nil
 }
--- a/internal/shares/max_min_test.go
+++ b/internal/shares/max_min_test.go
@@ -14,45 +14,45 @@
 	cases := []struct {
 		name     string
 		capacity int
-		wants    []shares.Want
+		demands  []shares.Demand
 		expect   []int
 	}{
-		{"three to one, both waiting", 16, []shares.Want{{3, 100}, {1, 100}}, []int{12, 4}},
-		{"an idle share is lent whole", 16, []shares.Want{{3, 0}, {1, 100}}, []int{0, 16}},
-		{"a small want is met first", 16, []shares.Want{{3, 2}, {1, 100}, {1, 100}}, []int{2, 7, 7}},
-		{"nothing to divide", 0, []shares.Want{{1, 5}}, []int{0}},
-		{"more places than wants", 10, []shares.Want{{1, 3}, {1, 2}}, []int{3, 2}},
+		{"shares 3 and 1, both demand more than capacity", 16, []shares.Demand{{3, 100}, {1, 100}}, []int{12, 4}},
+		{"all places of an idle workspace are lent", 16, []shares.Demand{{3, 0}, {1, 100}}, []int{0, 16}},
+		{"a small demand is met in full", 16, []shares.Demand{{3, 2}, {1, 100}, {1, 100}}, []int{2, 7, 7}},
+		{"no capacity", 0, []shares.Demand{{1, 5}}, []int{0}},
+		{"more capacity than demand", 10, []shares.Demand{{1, 3}, {1, 2}}, []int{3, 2}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			qt.Assert(t, shares.MaxMin(c.capacity, c.wants), qt.DeepEquals, c.expect)
+			qt.Assert(t, shares.MaxMin(c.capacity, c.demands), qt.DeepEquals, c.expect)
 		})
 	}
 }
 
-func TestMaxMinIsFairAndWastesNothing(t *testing.T) {
+func TestMaxMinIsFairAndAssignsAllWantedPlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 200).Draw(t, "capacity")
-		wants := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) shares.Want {
-			return shares.Want{Share: rapid.IntRange(1, 9).Draw(t, "share"), Places: rapid.IntRange(0, 80).Draw(t, "places")}
+		demands := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) shares.Demand {
+			return shares.Demand{Share: rapid.IntRange(1, 9).Draw(t, "share"), Places: rapid.IntRange(0, 80).Draw(t, "places")}
 		}), 0, 8).Draw(t, "wants")
-		got := shares.MaxMin(capacity, wants)
+		got := shares.MaxMin(capacity, demands)
 		total, wanted := 0, 0
-		for i, w := range wants {
+		for i, w := range demands {
 			total += got[i]
 			wanted += w.Places
 			if got[i] < 0 || got[i] > w.Places {
-				t.Fatalf("%d places for a want of %d", got[i], w.Places)
+				t.Fatalf("%d places assigned for a demand of %d", got[i], w.Places)
 			}
 		}
 		if total != min(capacity, wanted) {
-			t.Fatalf("%d places given of %d, %d wanted", total, capacity, wanted)
+			t.Fatalf("%d of %d places assigned, %d demanded", total, capacity, wanted)
 		}
-		for i := range wants {
-			for j := range wants {
-				// i waits for more while j, with one place less, would still have more for its share.
-				if got[i] < wants[i].Places && (got[j]-1)*wants[i].Share > (got[i]+1)*wants[j].Share {
-					t.Fatalf("%v of %v is unfair between %d and %d", got, wants, i, j)
+		for i := range demands {
+			for j := range demands {
+				// The demand of i is not met, although j would keep more in proportion to its share after giving i a place.
+				if got[i] < demands[i].Places && (got[j]-1)*demands[i].Share > (got[i]+1)*demands[j].Share {
+					t.Fatalf("division %v of demands %v is unfair between workspaces %d and %d", got, demands, i, j)
 				}
 			}
 		}
--- a/internal/shares/want.go
+++ b/internal/shares/want.go
@@ -1,7 +1,7 @@
 package shares
 
-// Want is one workspace's claim on places.
-type Want struct {
+// Demand is the demand of one workspace for places.
+type Demand struct {
 	Share  int // weight, at least 1
-	Places int // places it could use now
+	Places int // number of places it can use now
 }
