--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission holds the requests that wait at this node, and starts them on places that the
-// model's allocator has granted.
+// Package admission queues the requests that wait at this node, and starts them on the places that the model's
+// allocator has granted. A place lets one request run on a replica group.
 package admission
 
 import (
@@ -11,37 +11,36 @@
 )
 
 const (
-	askTimeout  = time.Second
-	busyEvery   = 100 * time.Millisecond // between reports while requests run, unless the allocator says otherwise
-	idleEvery   = time.Second
-	restEvery   = time.Hour            // with nothing held, the next request asks by itself
-	waitingGap  = 3 * time.Millisecond // between reports while requests wait for a place
-	failedPause = 50 * time.Millisecond
-	waitingPart = 4 // of the interval, while requests wait
-	retryAfter  = time.Second
+	reportTimeout  = time.Second
+	busyInterval   = 100 * time.Millisecond // between reports while requests run; the allocator may ask for a longer interval
+	idleInterval   = time.Second            // between reports after idleAfter without requests, while places are still held
+	emptyInterval  = time.Hour              // while there is no demand and no place; the next request triggers a report
+	minReportGap   = 3 * time.Millisecond   // minimum between reports at busyInterval; grows with the interval
+	retryDelay     = 50 * time.Millisecond  // after a failed report
+	waitingDivisor = 4                      // while requests wait, reports are this many times as frequent
+	retryAfter     = time.Second            // base of the wait that a refusal suggests before a retry
 )
 
-// Admission is this node's queues, one pool a model.
+// Admission holds this node's queues, in one pool for each model.
 type Admission struct {
-	asker  Asker
-	choose Chooser
+	asker   Asker
+	chooser Chooser
 
-	// LengthOnly bounds queues in length only; a baseline.
+	// LengthOnly bounds queues only by length, not by expected wait. It is a baseline for comparison.
 	LengthOnly bool
 
 	mu    sync.Mutex
 	pools map[string]*pool
-	ctx   context.Context //nolint:containedctx // the life of the node, for pools started later
+	ctx   context.Context //nolint:containedctx // ends with the node; used by the reporters of pools created later
 	wg    sync.WaitGroup
 }
 
-// New returns the admission of a node; its reporters run until ctx ends.
-func New(ctx context.Context, asker Asker, choose Chooser) *Admission {
-	return &Admission{asker: asker, choose: choose, pools: make(map[string]*pool), ctx: ctx}
+// New returns an Admission; its reporters run until ctx ends.
+func New(ctx context.Context, asker Asker, chooser Chooser) *Admission {
+	return &Admission{asker: asker, chooser: chooser, pools: make(map[string]*pool), ctx: ctx}
 }
 
-// Acquire waits for a place until the request's patience is over or ctx ends. The error is a *Refusal, or
-// the context's.
+// Acquire waits for a place until the request's timeout or until ctx ends. The error is a *Refusal or ctx.Err().
 func (a *Admission) Acquire(ctx context.Context, r Request) (*Place, error) {
 	p := a.pool(r.Model)
 	place, w, refusal := p.enter(r, clock.Now())
@@ -51,58 +50,59 @@
 	if place != nil {
 		return place, nil
 	}
-	p.kick()
-	timer := time.NewTimer(w.patience)
+	p.triggerReport()
+	timer := time.NewTimer(w.maxWait)
 	defer timer.Stop()
-	var settle <-chan time.Time
-	if w.choosy {
-		settle = time.After(r.PreferWait)
+	var preferTimeout <-chan time.Time
+	if w.onlyPreferred {
+		preferTimeout = time.After(r.PreferWait)
 	}
 	for {
 		select {
 		case place := <-w.ready:
 			return place, nil
-		case <-settle:
-			p.settle(r.Workspace, w)
+		case <-preferTimeout:
+			p.allowAnyGroup(r.Workspace, w)
 		case <-ctx.Done():
-			p.leave(r.Workspace, w)
+			p.abandon(r.Workspace, w)
 			return nil, ctx.Err()
 		case <-timer.C:
-			p.leave(r.Workspace, w)
+			p.abandon(r.Workspace, w)
 			return nil, &Refusal{"no place came free within the request's deadline", retryAfter}
 		}
 	}
 }
 
-// Wait returns when the reporters have ended.
+// Wait blocks until the reporters have ended.
 func (a *Admission) Wait() { a.wg.Wait() }
 
+// pool returns the model's pool; a new pool gets its own reporter.
 func (a *Admission) pool(model string) *pool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	p, ok := a.pools[model]
 	if !ok {
-		p = newPool(model, a.choose)
+		p = newPool(model, a.chooser)
 		p.lengthOnly = a.LengthOnly
 		a.pools[model] = p
-		a.wg.Go(func() { a.report(p) })
+		a.wg.Go(func() { a.runReporter(p) })
 	}
 	return p
 }
 
-// report keeps the allocator informed and puts its grants in force.
-func (a *Admission) report(p *pool) {
+// runReporter reports the pool's demand to the allocator and applies the grants until the node ends.
+func (a *Admission) runReporter(p *pool) {
 	wait := time.Duration(0)
 	for {
 		select {
 		case <-a.ctx.Done():
 			return
-		case <-p.reported:
+		case <-p.reportNow:
 		case <-time.After(wait):
 		}
 		var gap time.Duration
-		wait, gap = a.ask(p)
-		select { // requests that come now are told together
+		wait, gap = a.sendReport(p)
+		select { // requests that arrive in the meantime share one report
 		case <-a.ctx.Done():
 			return
 		case <-time.After(gap):
@@ -110,35 +110,36 @@
 	}
 }
 
-// ask sends one report and returns how long to wait before the next if no request asks for one, and if one does.
-func (a *Admission) ask(p *pool) (wait, gap time.Duration) {
+// sendReport sends one report and returns when the next one is due: after wait, or earlier if a request triggers
+// it, but not before gap has passed.
+func (a *Admission) sendReport(p *pool) (wait, gap time.Duration) {
 	now := clock.Now()
 	r, waiting, busy := p.report(now)
-	ctx, cancel := context.WithTimeout(a.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(a.ctx, reportTimeout)
 	defer cancel()
 	grant, lifetime, changed, err := a.asker.Ask(ctx, p.model, r)
 	if changed {
-		p.forget()
+		p.resetGrant()
 	}
 	if err != nil {
-		return failedPause, waitingGap
+		return retryDelay, minReportGap
 	}
 	p.apply(grant, now.Add(lifetime), clock.Now())
-	interval := max(busyEvery, grant.Interval)
-	gap = interval * waitingGap / busyEvery
+	interval := max(busyInterval, grant.Interval)
+	gap = interval * minReportGap / busyInterval
 	switch {
 	case waiting:
-		return interval / waitingPart, gap
+		return interval / waitingDivisor, gap
 	case busy:
 		return interval, gap
 	case len(r.Workspaces) > 0:
-		return max(idleEvery, interval), gap
+		return max(idleInterval, interval), gap
 	default:
-		return restEvery, gap
+		return emptyInterval, gap
 	}
 }
 
-// Waiting returns how many requests wait and run for each model and workspace.
+// Waiting returns the numbers of waiting and running requests and of places for each model and workspace.
 func (a *Admission) Waiting() []Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,26 +11,26 @@
 	"moorrun.dev/moorrun/internal/allocator"
 )
 
-// granter grants fixed places, and chooses nothing.
-type granter struct{ limits []allocator.Places }
+// fixedAllocator grants fixed places, and reports every group as usable.
+type fixedAllocator struct{ limits []allocator.Places }
 
 // Ask implements Asker.
-func (g granter) Ask(context.Context, string, allocator.Report) (allocator.Grant, time.Duration, bool, error) {
+func (g fixedAllocator) Ask(context.Context, string, allocator.Report) (allocator.Grant, time.Duration, bool, error) {
 	return allocator.Grant{Number: 1, Workspaces: []allocator.WorkspaceGrant{{Workspace: "w", Limits: g.limits}}}, time.Minute, false, nil
 }
 
 // Usable implements Chooser.
-func (granter) Usable(string, int64, time.Time) bool { return true }
+func (fixedAllocator) Usable(string, int64, time.Time) bool { return true }
 
 // Ejected implements Chooser.
-func (granter) Ejected(string, time.Time) []allocator.Ref { return nil }
+func (fixedAllocator) Ejected(string, time.Time) []allocator.Ref { return nil }
 
 // TakeSpeeds implements Chooser.
-func (granter) TakeSpeeds(string, time.Time) []allocator.Speed { return nil }
+func (fixedAllocator) TakeSpeeds(string, time.Time) []allocator.Speed { return nil }
 
 func newAdmission(t *testing.T, limits ...allocator.Places) *Admission {
 	ctx, cancel := context.WithCancel(context.Background())
-	g := granter{limits}
+	g := fixedAllocator{limits}
 	a := New(ctx, g, g)
 	t.Cleanup(func() { cancel(); a.Wait() })
 	return a
@@ -46,8 +46,8 @@
 	return p
 }
 
-// waiting blocks until that many requests wait.
-func waiting(a *Admission, n int) {
+// waitForQueued blocks until n requests wait.
+func waitForQueued(a *Admission, n int) {
 	for len(a.Waiting()) == 0 || a.Waiting()[0].Waiting != n {
 		time.Sleep(time.Millisecond)
 	}
@@ -63,7 +63,7 @@
 			order <- priority
 			p.Release(true)
 		}()
-		waiting(a, i+1)
+		waitForQueued(a, i+1)
 	}
 	held.Release(true)
 	qt.Assert(t, []int{<-order, <-order, <-order}, qt.DeepEquals, []int{9, 5, 3})
@@ -71,12 +71,12 @@
 
 func TestPreferredGroupIsTakenWhenFree(t *testing.T) {
 	a := newAdmission(t, allocator.Places{Group: "a", Birth: 1, Count: 4}, allocator.Places{Group: "b", Birth: 1, Count: 1})
-	acquire(t, a, Request{}).Release(true) // the grant is in force
+	acquire(t, a, Request{}).Release(true) // waits until the grant is applied
 	prefer := allocator.Ref{Group: "b", Birth: 1}
 	first := acquire(t, a, Request{Prefer: prefer, PreferWait: time.Minute})
 	qt.Assert(t, first.Group, qt.Equals, "b")
 	second := acquire(t, a, Request{Prefer: prefer, PreferWait: time.Millisecond})
-	qt.Assert(t, second.Group, qt.Equals, "a", qt.Commentf("it is waited for only so long"))
+	qt.Assert(t, second.Group, qt.Equals, "a", qt.Commentf("the preferred group is waited for no longer than PreferWait"))
 	first.Release(true)
 	second.Release(true)
 }
@@ -86,7 +86,7 @@
 	held := acquire(t, a, Request{})
 	p := a.pool("m")
 	p.mu.Lock()
-	p.queues["w"].hold = time.Hour // as if every request took that long
+	p.queues["w"].meanHold = time.Hour // as if requests kept their places for an hour on average
 	p.mu.Unlock()
 	_, err := a.Acquire(context.Background(), Request{Model: "m", Workspace: "w", Patience: time.Minute})
 	var refusal *Refusal
@@ -104,7 +104,7 @@
 		_, err := a.Acquire(ctx, Request{Model: "m", Workspace: "w", Patience: time.Minute})
 		gone <- err
 	}()
-	waiting(a, 1)
+	waitForQueued(a, 1)
 	cancel()
 	qt.Assert(t, <-gone, qt.Equals, context.Canceled)
 	held.Release(true)
--- a/internal/admission/asker.go
+++ b/internal/admission/asker.go
@@ -7,8 +7,9 @@
 	"moorrun.dev/moorrun/internal/allocator"
 )
 
-// Asker sends a node's demand for a model to whoever allocates its places.
+// Asker sends a node's demand for a model to the node that allocates the model's places.
 type Asker interface {
-	// Ask returns the grant. changed says that another allocator than before has answered.
+	// Ask returns the grant and how long after the report it may be used. changed reports whether the model's
+	// allocator is another one than at the last call.
 	Ask(ctx context.Context, model string, r allocator.Report) (g allocator.Grant, lifetime time.Duration, changed bool, err error)
 }
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -1,10 +1,10 @@
 package admission
 
-// Load is what one workspace has at this node for one model.
+// Load holds the requests and places of one workspace for one model at this node.
 type Load struct {
 	Model     string `json:"model"`
 	Workspace string `json:"workspace"`
 	Waiting   int    `json:"waiting"`
 	Running   int    `json:"running"`
-	Held      int    `json:"held"` // places it may use
+	Held      int    `json:"held"` // places that the workspace may use
 }
--- a/internal/admission/peak.go
+++ b/internal/admission/peak.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// peakWindow is for how long a workspace's highest demand is remembered; an idle workspace's places are lent
-// whole after two of them.
+// peakWindow is the length of the windows over which a workspace's highest demand is kept. All places of an idle
+// workspace are lent after two windows.
 const peakWindow = time.Second
 
-// peak is the highest value of the current and the last window.
+// peak is the highest value of the current and the previous window.
 type peak struct {
-	began         time.Time
-	current, last int
+	windowStart       time.Time
+	current, previous int
 }
 
 func (p *peak) add(value int, now time.Time) {
-	p.roll(now)
+	p.advance(now)
 	p.current = max(p.current, value)
 }
 
-func (p *peak) roll(now time.Time) {
-	switch passed := now.Sub(p.began); {
+func (p *peak) advance(now time.Time) {
+	switch passed := now.Sub(p.windowStart); {
 	case passed >= 2*peakWindow:
-		p.began, p.last, p.current = now, 0, 0
+		p.windowStart, p.previous, p.current = now, 0, 0
 	case passed >= peakWindow:
-		p.began, p.last, p.current = now, p.current, 0
+		p.windowStart, p.previous, p.current = now, p.current, 0
 	}
 }
 
 func (p *peak) value(now time.Time) int {
-	p.roll(now)
-	return max(p.current, p.last)
+	p.advance(now)
+	return max(p.current, p.previous)
 }
--- a/internal/admission/place.go
+++ b/internal/admission/place.go
@@ -7,11 +7,11 @@
 	Group string
 	Birth int64
 
-	pool  *pool
-	queue *queue
-	slot  *slot
-	taken time.Time
+	pool        *pool
+	queue       *queue
+	groupPlaces *groupPlaces
+	taken       time.Time
 }
 
-// Release gives the place back; it may be called once. ok says whether the group served the request.
+// Release gives the place back; it may be called once. ok reports whether the group served the request.
 func (p *Place) Release(ok bool) { p.pool.release(p, ok) }
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// maxQueued bounds a workspace's queue at one node, whatever its expected wait.
+	// maxQueued is the maximum length of a workspace's queue at one node, whatever the expected wait.
 	maxQueued = 4096
-	// idleAfter is how long a workspace without requests keeps asking for spare places.
+	// idleAfter is how long a workspace keeps requesting spare places after its last request.
 	idleAfter = 5 * time.Second
-	// spareTime is for how much of the arrival rate spare places are asked.
-	spareTime = 50 * time.Millisecond
+	// spareWindow is the time for which spare places should cover the arrivals.
+	spareWindow = 50 * time.Millisecond
 )
 
 // pool is one model's places and queues at this node.
 type pool struct {
 	model      string
-	choose     Chooser
+	chooser    Chooser
 	lengthOnly bool
 
-	mu       sync.Mutex
-	queues   map[string]*queue
-	grant    uint64
-	expires  time.Time // of the grants in force
-	reported chan struct{}
-	arrivals map[string]*rate
+	mu        sync.Mutex
+	queues    map[string]*queue
+	grant     uint64
+	expires   time.Time // when the current grant expires
+	reportNow chan struct{}
+	arrivals  map[string]*rate
 }
 
-func newPool(model string, choose Chooser) *pool {
+func newPool(model string, chooser Chooser) *pool {
 	return &pool{
-		model: model, choose: choose, queues: make(map[string]*queue),
-		reported: make(chan struct{}, 1), arrivals: make(map[string]*rate),
+		model: model, chooser: chooser, queues: make(map[string]*queue),
+		reportNow: make(chan struct{}, 1), arrivals: make(map[string]*rate),
 	}
 }
 
 func (p *pool) queue(workspace string) *queue {
 	q, ok := p.queues[workspace]
 	if !ok {
-		q = &queue{workspace: workspace, slots: make(map[slotKey]*slot)}
+		q = &queue{workspace: workspace, groups: make(map[groupKey]*groupPlaces)}
 		q.waiting.Init()
 		p.queues[workspace] = q
 		p.arrivals[workspace] = &rate{}
@@ -51,23 +51,23 @@
 	return q
 }
 
-// enter gives a place at once, or puts the request into its queue.
+// enter returns a place if one is free, and otherwise adds the request to its queue or refuses it.
 func (p *pool) enter(r Request, now time.Time) (*Place, *waiter, *Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q := p.queue(r.Workspace)
-	q.recent = now
+	q.lastArrival = now
 	p.arrivals[r.Workspace].add(now)
 	q.demand.add(q.waiting.Len()+q.running()+1, now)
-	w := &waiter{ready: make(chan *Place, 1), avoid: r.Avoid, prefer: r.Prefer, priority: r.Priority, patience: r.Patience - q.hold}
+	w := &waiter{ready: make(chan *Place, 1), avoid: r.Avoid, prefer: r.Prefer, priority: r.Priority, maxWait: r.Patience - q.meanHold}
 	if p.lengthOnly {
-		w.patience = r.Patience
+		w.maxWait = r.Patience
 	}
-	w.choosy = r.Prefer != (allocator.Ref{}) && r.Prefer.Group != r.Avoid
+	w.onlyPreferred = r.Prefer != (allocator.Ref{}) && r.Prefer.Group != r.Avoid
 	if place := p.takePreferred(q, w, now); place != nil {
 		return place, nil, nil
 	}
-	if q.waiting.Len() == 0 && !w.choosy {
+	if q.waiting.Len() == 0 && !w.onlyPreferred {
 		if place := p.take(q, w.avoid, now); place != nil {
 			return place, nil, nil
 		}
@@ -79,31 +79,31 @@
 	return nil, w, nil
 }
 
-// takePreferred starts a request on the group it prefers, if the workspace has a free place there.
+// takePreferred starts the request on the group that it prefers, if the workspace has a free place there.
 func (p *pool) takePreferred(q *queue, w *waiter, now time.Time) *Place {
 	if w.prefer == (allocator.Ref{}) || !now.Before(p.expires) {
 		return nil
 	}
-	s, ok := q.slots[slotKey{w.prefer.Group, w.prefer.Birth}]
-	if !ok || s.running >= s.limit || !p.choose.Usable(s.key.group, s.key.birth, now) ||
-		slices.Contains(p.choose.Ejected(p.model, now), w.prefer) {
+	s, ok := q.groups[groupKey{w.prefer.Group, w.prefer.Birth}]
+	if !ok || s.running >= s.limit || !p.chooser.Usable(s.key.group, s.key.birth, now) ||
+		slices.Contains(p.chooser.Ejected(p.model, now), w.prefer) {
 		return nil
 	}
 	return p.start(q, s, now)
 }
 
-// settle lets a request that has waited for the group it prefers take any.
-func (p *pool) settle(workspace string, w *waiter) {
+// allowAnyGroup lets a request that has waited long enough for its preferred group run on any group.
+func (p *pool) allowAnyGroup(workspace string, w *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w.choosy = false
+	w.onlyPreferred = false
 	if w.element != nil {
 		p.dispatch(p.queues[workspace], clock.Now())
 	}
 }
 
-// refuse turns a request away when its expected wait is longer than its patience.
-func (p *pool) refuse(q *queue, patience time.Duration, now time.Time) *Refusal {
+// refuse returns a Refusal if the queue is full or the request cannot be expected to end within its timeout.
+func (p *pool) refuse(q *queue, timeout time.Duration, now time.Time) *Refusal {
 	expected := q.expectedWait(now)
 	if q.waiting.Len() >= maxQueued {
 		return &Refusal{"the queue is full", expected}
@@ -111,20 +111,21 @@
 	if p.lengthOnly {
 		return nil
 	}
-	if expected+q.hold > patience {
-		return &Refusal{"the expected wait is longer than the request's deadline", max(0, expected+q.hold-patience) + retryAfter}
+	if expected+q.meanHold > timeout {
+		return &Refusal{"the expected wait is longer than the request's deadline", max(0, expected+q.meanHold-timeout) + retryAfter}
 	}
 	return nil
 }
 
-// expectedWait is how long a request that joins now will wait, from how fast places came free lately.
+// expectedWait estimates how long a request that joins the queue now will wait, from the recent rate at which
+// places became free.
 func (q *queue) expectedWait(now time.Time) time.Duration {
 	if q.waiting.Len() == 0 {
 		return 0
 	}
 	perSecond := q.rate.value(now)
 	if perSecond <= 0 {
-		return 0 // nothing is known: wait up to the deadline
+		return 0 // no recent releases to estimate from: the request waits up to its deadline
 	}
 	seconds := float64(q.waiting.Len()) / perSecond
 	return time.Duration(math.Min(seconds, maxExpectedWait.Seconds()) * float64(time.Second))
@@ -132,7 +133,8 @@
 
 const maxExpectedWait = time.Hour
 
-// take starts a request on the best group the workspace has a free place of.
+// take starts a request on the least loaded group of which the workspace has a free place. The group to avoid is
+// used only if there is no other.
 func (p *pool) take(q *queue, avoid string, now time.Time) *Place {
 	if !now.Before(p.expires) {
 		return nil
@@ -147,27 +149,29 @@
 	return p.start(q, s, now)
 }
 
-func (p *pool) start(q *queue, s *slot, now time.Time) *Place {
+func (p *pool) start(q *queue, s *groupPlaces, now time.Time) *Place {
 	s.running++
-	return &Place{Group: s.key.group, Birth: s.key.birth, pool: p, queue: q, slot: s, taken: now}
+	return &Place{Group: s.key.group, Birth: s.key.birth, pool: p, queue: q, groupPlaces: s, taken: now}
 }
 
-func (p *pool) best(q *queue, avoid string, now time.Time) *slot {
-	ejected := p.choose.Ejected(p.model, now)
-	var best *slot
-	for _, s := range q.slots {
+// best returns the least loaded usable group, other than avoid, of which the workspace has a free place.
+func (p *pool) best(q *queue, avoid string, now time.Time) *groupPlaces {
+	ejected := p.chooser.Ejected(p.model, now)
+	var best *groupPlaces
+	for _, s := range q.groups {
 		if s.running >= s.limit || s.key.group == avoid || slices.Contains(ejected, s.key.ref()) {
 			continue
 		}
-		if p.choose.Usable(s.key.group, s.key.birth, now) && (best == nil || s.emptier(best)) {
+		if p.chooser.Usable(s.key.group, s.key.birth, now) && (best == nil || s.lessLoaded(best)) {
 			best = s
 		}
 	}
 	return best
 }
 
-// leave takes a request that has given up out of its queue; a place it was just given goes on to the next.
-func (p *pool) leave(workspace string, w *waiter) {
+// abandon removes a request that no longer waits from its queue. If it was given a place in the meantime, the
+// place goes to the next request.
+func (p *pool) abandon(workspace string, w *waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w.element != nil {
@@ -176,7 +180,7 @@
 		return
 	}
 	place := <-w.ready
-	place.slot.running--
+	place.groupPlaces.running--
 	p.dispatch(place.queue, clock.Now())
 }
 
@@ -184,19 +188,19 @@
 	now := clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	place.slot.running--
+	place.groupPlaces.running--
 	if ok {
 		place.queue.rate.add(now)
-		place.queue.held(now.Sub(place.taken))
+		place.queue.recordHold(now.Sub(place.taken))
 	}
-	if place.slot.running == 0 && place.slot.limit == 0 {
-		delete(place.queue.slots, place.slot.key)
+	if place.groupPlaces.running == 0 && place.groupPlaces.limit == 0 {
+		delete(place.queue.groups, place.groupPlaces.key)
 	}
 	p.dispatch(place.queue, now)
 }
 
-// dispatch gives free places to the requests that have waited longest, except that one of the first few that
-// prefers the place's group goes before them.
+// dispatch gives free places to the requests that come first in the queue. One of the first maxOvertaking
+// requests that prefers the group of a free place goes before the others.
 func (p *pool) dispatch(q *queue, now time.Time) {
 	for q.waiting.Len() > 0 {
 		w, place := p.match(q, now)
@@ -209,51 +213,53 @@
 	}
 }
 
-// lookAhead is how many waiting requests are looked at for one that prefers a free place's group; so many at
-// the most go before the one that has waited longest.
-const lookAhead = 8
+// maxOvertaking is how many requests from the front of the queue are searched for one that prefers the group of a
+// free place. It bounds how many requests can overtake the first one.
+const maxOvertaking = 8
 
+// match returns the request to start next and the place for it; the place is nil if there is none.
 func (p *pool) match(q *queue, now time.Time) (*waiter, *Place) {
 	e := q.waiting.Front()
-	for range lookAhead {
+	for range maxOvertaking {
 		if e == nil {
 			break
 		}
-		w := e.Value.(*waiter) //nolint:forcetypeassert // the list holds nothing else
+		w := e.Value.(*waiter) //nolint:forcetypeassert // the list holds only *waiter
 		if place := p.takePreferred(q, w, now); place != nil {
 			return w, place
 		}
 		e = e.Next()
 	}
-	w := q.waiting.Front().Value.(*waiter) //nolint:forcetypeassert // the list holds nothing else
-	if w.choosy {
+	w := q.waiting.Front().Value.(*waiter) //nolint:forcetypeassert // the list holds only *waiter
+	if w.onlyPreferred {
 		return w, nil
 	}
 	return w, p.take(q, w.avoid, now)
 }
 
-// report returns the demand of this node and whether a request waits that only a new grant can help.
+// report returns the demand of this node. waiting reports whether requests wait, which only a new grant can
+// help; busy reports whether any workspace has requests or had some recently.
 func (p *pool) report(now time.Time) (r allocator.Report, waiting, busy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.Grant = p.grant
-	r.Avoid = p.choose.Ejected(p.model, now)
-	r.Speeds = p.choose.TakeSpeeds(p.model, now)
+	r.Avoid = p.chooser.Ejected(p.model, now)
+	r.Speeds = p.chooser.TakeSpeeds(p.model, now)
 	for name, q := range p.queues {
-		d := allocator.Demand{Workspace: name, Waiting: q.waiting.Len(), Preferred: q.wishes()}
-		for key, s := range q.slots {
+		d := allocator.Demand{Workspace: name, Waiting: q.waiting.Len(), Preferred: q.preferredGroups()}
+		for key, s := range q.groups {
 			if s.running > 0 {
 				d.Running = append(d.Running, allocator.Places{Group: key.group, Birth: key.birth, Count: s.running})
 			}
 		}
 		d.Reserve = max(0, q.demand.value(now)-d.Waiting-q.running())
-		idle := now.Sub(q.recent) > idleAfter
+		idle := now.Sub(q.lastArrival) > idleAfter
 		if !idle {
-			d.Spare = 1 + int(p.arrivals[name].value(now)*spareTime.Seconds())
+			d.Spare = 1 + int(p.arrivals[name].value(now)*spareWindow.Seconds())
 		}
 		waiting = waiting || d.Waiting > 0
 		busy = busy || !idle || len(d.Running) > 0 || d.Waiting > 0
-		if idle && len(q.slots) == 0 && d.Waiting == 0 {
+		if idle && len(q.groups) == 0 && d.Waiting == 0 {
 			delete(p.queues, name)
 			delete(p.arrivals, name)
 			continue
@@ -263,50 +269,51 @@
 	return r, waiting, busy
 }
 
-// apply puts a grant in force until expires.
+// apply replaces the limits by those of the grant, which is valid until expires.
 func (p *pool) apply(g allocator.Grant, expires, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grant = g.Number
 	p.expires = expires
 	for _, q := range p.queues {
-		for _, s := range q.slots {
+		for _, s := range q.groups {
 			s.limit = 0
 		}
 	}
 	for _, w := range g.Workspaces {
 		q := p.queue(w.Workspace)
 		for _, places := range w.Limits {
-			key := slotKey{places.Group, places.Birth}
-			s, ok := q.slots[key]
+			key := groupKey{places.Group, places.Birth}
+			s, ok := q.groups[key]
 			if !ok {
-				s = &slot{key: key}
-				q.slots[key] = s
+				s = &groupPlaces{key: key}
+				q.groups[key] = s
 			}
 			s.limit = places.Count
 		}
 	}
 	for _, q := range p.queues {
-		for key, s := range q.slots {
+		for key, s := range q.groups {
 			if s.limit == 0 && s.running == 0 {
-				delete(q.slots, key)
+				delete(q.groups, key)
 			}
 		}
 		p.dispatch(q, now)
 	}
 }
 
-// forget ends the grants, when the allocator that gave them is no longer the one to ask.
-func (p *pool) forget() {
+// resetGrant clears the number of the last grant after a change of the allocator, so that the next report doesn't
+// confirm a grant of the old one.
+func (p *pool) resetGrant() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grant = 0
 }
 
-// kick asks for a report now.
-func (p *pool) kick() {
+// triggerReport makes the reporter send a report as soon as it may.
+func (p *pool) triggerReport() {
 	select {
-	case p.reported <- struct{}{}:
+	case p.reportNow <- struct{}{}:
 	default:
 	}
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -8,36 +8,36 @@
 	"moorrun.dev/moorrun/internal/allocator"
 )
 
-// queue is one workspace's requests for one model.
+// queue holds the waiting requests of one workspace for one model, and its places.
 type queue struct {
-	workspace string
-	waiting   list.List // of *waiter, first come first
-	slots     map[slotKey]*slot
-	rate      rate          // of places coming free
-	hold      time.Duration // how long a request keeps its place, an average
-	recent    time.Time
-	demand    peak // of requests that wait and run
+	workspace   string
+	waiting     list.List // of *waiter, by priority and then by arrival
+	groups      map[groupKey]*groupPlaces
+	rate        rate          // at which places become free
+	meanHold    time.Duration // moving average of how long a request keeps its place
+	lastArrival time.Time
+	demand      peak // peak number of requests waiting and running
 }
 
-// holdWeight is how many requests the average of their holding times reaches back.
-const holdWeight = 16
+// meanHoldRequests is the number of requests over which the holding time is averaged.
+const meanHoldRequests = 16
 
-// slot is the workspace's places of one group.
-type slot struct {
-	key     slotKey
+// groupPlaces counts a workspace's places of one group: limit is how many it may use, running how many are in use.
+type groupPlaces struct {
+	key     groupKey
 	limit   int
 	running int
 }
 
-type slotKey struct {
+type groupKey struct {
 	group string
 	birth int64
 }
 
-// push puts the request behind all others of its priority or a higher one.
+// push inserts the request behind all requests of the same or a higher priority.
 func (q *queue) push(w *waiter) {
 	for e := q.waiting.Back(); e != nil; e = e.Prev() {
-		if e.Value.(*waiter).priority >= w.priority { //nolint:forcetypeassert // the list holds nothing else
+		if e.Value.(*waiter).priority >= w.priority { //nolint:forcetypeassert // the list holds only *waiter
 			w.element = q.waiting.InsertAfter(w, e)
 			return
 		}
@@ -45,12 +45,12 @@
 	w.element = q.waiting.PushFront(w)
 }
 
-// wishes counts the requests that wait for the group they prefer.
-func (q *queue) wishes() []allocator.Places {
+// preferredGroups counts the waiting requests by the group that they prefer.
+func (q *queue) preferredGroups() []allocator.Places {
 	var out []allocator.Places
 	for e := q.waiting.Front(); e != nil; e = e.Next() {
-		w := e.Value.(*waiter) //nolint:forcetypeassert // the list holds nothing else
-		if w.prefer == (allocator.Ref{}) || len(out) >= maxWishes {
+		w := e.Value.(*waiter) //nolint:forcetypeassert // the list holds only *waiter
+		if w.prefer == (allocator.Ref{}) || len(out) >= maxPreferredGroups {
 			continue
 		}
 		i := slices.IndexFunc(out, func(p allocator.Places) bool { return p.Group == w.prefer.Group && p.Birth == w.prefer.Birth })
@@ -63,13 +63,13 @@
 	return out
 }
 
-// maxWishes bounds the groups named in one report.
-const maxWishes = 32
+// maxPreferredGroups is the maximum number of preferred groups in one report.
+const maxPreferredGroups = 32
 
-func (k slotKey) ref() allocator.Ref { return allocator.Ref{Group: k.group, Birth: k.birth} }
+func (k groupKey) ref() allocator.Ref { return allocator.Ref{Group: k.group, Birth: k.birth} }
 
-// emptier reports whether s has a smaller part of its places in use than other.
-func (s *slot) emptier(other *slot) bool {
+// lessLoaded reports whether a smaller fraction of the places of s is in use than of other.
+func (s *groupPlaces) lessLoaded(other *groupPlaces) bool {
 	a, b := s.running*other.limit, other.running*s.limit
 	if a != b {
 		return a < b
@@ -79,38 +79,38 @@
 
 // waiter is one request that waits for a place.
 type waiter struct {
-	ready    chan *Place // buffered; gets the place or is dropped from the list
-	element  *list.Element
-	avoid    string // group that failed this request before
-	prefer   allocator.Ref
-	priority int
-	choosy   bool // it still waits for the group it prefers
-	// patience is how long it may wait and still be served within its deadline.
-	patience time.Duration
+	ready         chan *Place // buffered; receives the place, unless the request leaves the queue without one
+	element       *list.Element
+	avoid         string // group on which this request has failed
+	prefer        allocator.Ref
+	priority      int
+	onlyPreferred bool // the request still waits for its preferred group only
+	// maxWait is how long the request may wait and still be expected to end within its timeout.
+	maxWait time.Duration
 }
 
-// running is how many requests of the workspace run now.
+// running returns how many of the workspace's requests run now.
 func (q *queue) running() int {
 	n := 0
-	for _, s := range q.slots {
+	for _, s := range q.groups {
 		n += s.running
 	}
 	return n
 }
 
-// held takes in how long a request kept its place.
-func (q *queue) held(d time.Duration) {
-	if q.hold == 0 {
-		q.hold = d
+// recordHold adds the time for which a request kept its place to the average.
+func (q *queue) recordHold(d time.Duration) {
+	if q.meanHold == 0 {
+		q.meanHold = d
 		return
 	}
-	q.hold += (d - q.hold) / holdWeight
+	q.meanHold += (d - q.meanHold) / meanHoldRequests
 }
 
-// places is how many places the workspace may use now.
+// places returns how many places the workspace may use now, or still uses beyond its limits.
 func (q *queue) places() int {
 	n := 0
-	for _, s := range q.slots {
+	for _, s := range q.groups {
 		n += max(s.limit, s.running)
 	}
 	return n
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// rate is an exponentially decaying rate of events.
+// rate is an exponentially weighted rate of events.
 type rate struct {
 	perSecond float64
 	last      time.Time
 }
 
+// rateWindow is the time constant of the exponential decay.
 const rateWindow = 2 * time.Second
 
 func (r *rate) add(now time.Time) {
--- a/internal/admission/refusal.go
+++ b/internal/admission/refusal.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Refusal is the error of a request that gets no place; it has not run.
+// Refusal is the error for a request that was refused a place; the request has not run.
 type Refusal struct {
 	Reason     string
-	RetryAfter time.Duration // when to come back
+	RetryAfter time.Duration // how long to wait before trying again
 }
 
 // Error implements error.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("%s; come back in %s", r.Reason, r.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("%s; retry after %s", r.Reason, r.RetryAfter.Round(time.Millisecond))
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -6,17 +6,17 @@
 	"moorrun.dev/moorrun/internal/allocator"
 )
 
-// Request asks for a place.
+// Request describes a request that needs a place.
 type Request struct {
 	Model     string
 	Workspace string
-	// Avoid names a group that has failed this request before.
+	// Avoid is the ID of a group on which this request has failed; empty for none.
 	Avoid string
-	// Prefer is the group that probably holds the request's prompt prefix; zero for none.
+	// Prefer is the group that probably has the request's prompt prefix cached; zero for none.
 	Prefer allocator.Ref
-	// PreferWait is how long it waits for that group while others have free places.
+	// PreferWait is how long the request waits for that group while other groups have free places.
 	PreferWait time.Duration
-	// Priority orders the workspace's waiting requests, the highest first.
+	// Priority orders the waiting requests of a workspace; the highest goes first.
 	Priority int
 	// Patience is how long the request may take, waiting included.
 	Patience time.Duration
