--- a/internal/places/asker.go
+++ b/internal/places/asker.go
@@ -15,23 +15,23 @@
 
 var (
 	errNoConfig     = errors.New("no configuration is in force")
-	errNotAllocator = errors.New("the node does not allocate this model's places")
+	errNotAllocator = errors.New("the node asked is not the allocator of this model's places")
 )
 
-// Asker implements admission.Asker.
+// Asker implements admission.Asker: it sends reports to the node that allocates the pool.
 type Asker struct {
 	members *membership.Table
 	current func() *config.Config
 	server  *Server
 	caller  *peer.Caller
 
-	mu   sync.Mutex
-	last map[string]string // model → VM and incarnation of the allocator that answered last
+	mu            sync.Mutex
+	lastAllocator map[string]string // model → VM and incarnation of the allocator asked last
 }
 
-// NewAsker returns an Asker; models that fall to this node are asked of server.
+// NewAsker returns an Asker. Pools that this node allocates are handled by server without a call.
 func NewAsker(members *membership.Table, current func() *config.Config, server *Server, caller *peer.Caller) *Asker {
-	return &Asker{members: members, current: current, server: server, caller: caller, last: make(map[string]string)}
+	return &Asker{members: members, current: current, server: server, caller: caller, lastAllocator: make(map[string]string)}
 }
 
 // Ask implements admission.Asker.
@@ -43,12 +43,12 @@
 	}
 	self := a.members.Self(now)
 	r.VM, r.Incarnation = self.VM, self.Incarnation
-	list := ranked(model, a.members, c, now)
+	list := rankedNodes(model, a.members, c, now)
 	if len(list) == 0 {
 		list = []membership.Member{self}
 	}
 	to := list[0]
-	changed := a.moved(model, to)
+	changed := a.allocatorChanged(model, to)
 	if changed {
 		r.Grant = 0
 	}
@@ -66,12 +66,12 @@
 	return grantFromWire(reply), allocator.GrantLifetime, changed, nil
 }
 
-// moved reports whether the model's allocator is another one than at the last call.
-func (a *Asker) moved(model string, to membership.Member) bool {
+// allocatorChanged reports whether the model's allocator is another one than at the last call.
+func (a *Asker) allocatorChanged(model string, to membership.Member) bool {
 	id := to.VM + "/" + to.Incarnation
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	changed := a.last[model] != id
-	a.last[model] = id
+	changed := a.lastAllocator[model] != id
+	a.lastAllocator[model] = id
 	return changed
 }
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -1,6 +1,7 @@
-// Package places joins the allocators of package allocator to the nodes that ask them: one side answers
-// for the pools that fall to this node, the other asks whoever a pool falls to. A model has a pool in each region, a plain service
-// one for all, since nodes of every region send to its endpoints.
+// Package places connects the allocators of package allocator with the nodes that request places. Server answers
+// for the pools that this node allocates; Asker sends requests to the node that allocates a pool. A model has one
+// pool in each region. A plain service has one pool for all regions, since nodes of every region send requests to
+// its endpoints.
 package places
 
 import (
@@ -21,23 +22,25 @@
 	"moorrun.dev/moorrun/internal/routing"
 )
 
-// acceptRank is how far down a model's ranking a node still answers: the views of two nodes differ for a while.
-const acceptRank = 2
+// maxAllocatorRank is the lowest rank at which a node answers for a pool. The second node answers too, because
+// the membership views of two nodes differ for a while after a change.
+const maxAllocatorRank = 2
 
-// idlePool is how long a pool nobody asks for is kept.
-const idlePool = time.Minute
+// idlePoolLifetime is how long a pool is kept after its last report.
+const idlePoolLifetime = time.Minute
 
 const (
-	reviewEvery = 200 * time.Millisecond
-	// readEvery is how often a pool's groups are read anew.
-	readEvery = 50 * time.Millisecond
-	// minInterval is how often a node reports while it uses places; with many nodes less often, so that the
-	// allocator's work stays the same.
+	// membershipInterval is how often the live nodes are checked for changes.
+	membershipInterval = 200 * time.Millisecond
+	// groupsRefreshInterval is the minimum time between two refreshes of a pool's groups.
+	groupsRefreshInterval = 50 * time.Millisecond
+	// minInterval is the minimum time between reports of a node that uses places. It grows with the number of nodes
+	// (intervalPerNode), so that the load on the allocator stays the same.
 	minInterval     = 100 * time.Millisecond
 	intervalPerNode = 10 * time.Millisecond
 )
 
-// Server allocates the places of the models that fall to this node.
+// Server allocates the places of the pools that are assigned to this node.
 type Server struct {
 	members  *membership.Table
 	router   *routing.Router
@@ -47,45 +50,46 @@
 
 	mu       sync.Mutex
 	pools    map[string]*lockedPool
-	near     settled // nodes of this region
-	anywhere settled
+	regional liveSet // nodes of this region
+	global   liveSet // nodes of all regions
 }
 
-// settled tells since when the live nodes, and with them whose turn it is, have not changed.
-type settled struct {
-	live  string
+// liveSet records the live nodes and since when they have not changed. As long as they don't change, the
+// allocators of the pools don't either.
+type liveSet struct {
+	live  string // VM and incarnation of each node, sorted
 	since time.Time
 }
 
-// lockedPool is one allocator under its own lock.
+// lockedPool is the allocator of one pool with its own lock.
 type lockedPool struct {
-	mu    sync.Mutex
-	pool  *allocator.Pool
-	asked time.Time
-	over  time.Time // since when more places are held than there are
-	read  time.Time // when the groups were last read
+	mu          sync.Mutex
+	pool        *allocator.Pool
+	lastReport  time.Time
+	overSince   time.Time // since when a group has been overcommitted; zero if none is
+	lastRefresh time.Time // when the groups were last read
 }
 
-// NewServer returns a Server without pools.
+// NewServer returns a Server that has no pools yet.
 func NewServer(members *membership.Table, router *routing.Router, services *routing.Services, current func() *config.Config, checker *invariant.Checker) *Server {
-	now := settled{since: clock.Now()}
+	now := liveSet{since: clock.Now()}
 	return &Server{
 		members: members, router: router, services: services, current: current, checker: checker, pools: make(map[string]*lockedPool),
-		near: now, anywhere: now,
+		regional: now, global: now,
 	}
 }
 
-// ranked returns the nodes that use a pool in the order in which they allocate its places.
-func ranked(pool string, members *membership.Table, c *config.Config, now time.Time) []membership.Member {
-	return membership.Rank("places/"+pool, users(routing.IsServicePool(pool), members, c, now))
+// rankedNodes returns the nodes that use the pool, ranked: the first one allocates its places.
+func rankedNodes(pool string, members *membership.Table, c *config.Config, now time.Time) []membership.Member {
+	return membership.Rank("places/"+pool, eligibleNodes(routing.IsServicePool(pool), members, c, now))
 }
 
-// users returns the nodes of all regions, or those of this node's.
-func users(anywhere bool, members *membership.Table, c *config.Config, now time.Time) []membership.Member {
+// eligibleNodes returns the live nodes that are not draining, of all regions or only of this node's region.
+func eligibleNodes(allRegions bool, members *membership.Table, c *config.Config, now time.Time) []membership.Member {
 	region := c.Region(members.Self(now).DataCentre)
 	var out []membership.Member
 	for _, m := range members.Live(now) {
-		if !m.Draining && (anywhere || c.Region(m.DataCentre) == region) {
+		if !m.Draining && (allRegions || c.Region(m.DataCentre) == region) {
 			out = append(out, m)
 		}
 	}
@@ -96,33 +100,33 @@
 func (s *Server) Demand(_ context.Context, request *peerpb.DemandRequest) *peerpb.DemandReply {
 	now := clock.Now()
 	c := s.current()
-	if c == nil || !s.falls(request.Model, c, now) {
+	if c == nil || !s.isAllocator(request.Model, c, now) {
 		return &peerpb.DemandReply{NotAllocator: true}
 	}
 	grant := s.report(request.Model, reportFromWire(request), c, now)
 	return grantToWire(grant)
 }
 
-// Run notes changes of the region's live nodes until ctx ends.
+// Run records changes of the live nodes, of this region and of all, until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
-	loop.Every(ctx, reviewEvery, func(now time.Time) {
+	loop.Every(ctx, membershipInterval, func(now time.Time) {
 		if c := s.current(); c != nil {
-			s.review(c, now)
+			s.updateLive(c, now)
 		}
 	})
 	return nil
 }
 
-func (s *Server) review(c *config.Config, now time.Time) {
-	near, anywhere := users(false, s.members, c, now), users(true, s.members, c, now)
+func (s *Server) updateLive(c *config.Config, now time.Time) {
+	regionalNodes, allNodes := eligibleNodes(false, s.members, c, now), eligibleNodes(true, s.members, c, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.near.see(near, now)
-	s.anywhere.see(anywhere, now)
+	s.regional.update(regionalNodes, now)
+	s.global.update(allNodes, now)
 }
 
-// see takes in which nodes are live.
-func (s *settled) see(nodes []membership.Member, now time.Time) {
+// update records the live nodes, and the time if they have changed.
+func (s *liveSet) update(nodes []membership.Member, now time.Time) {
 	names := make([]string, len(nodes))
 	for i, m := range nodes {
 		names[i] = m.VM + "/" + m.Incarnation
@@ -133,10 +137,11 @@
 	}
 }
 
-func (s *Server) falls(model string, c *config.Config, now time.Time) bool {
-	list := ranked(model, s.members, c, now)
+// isAllocator reports whether this node ranks high enough to answer for the pool.
+func (s *Server) isAllocator(model string, c *config.Config, now time.Time) bool {
+	list := rankedNodes(model, s.members, c, now)
 	self := s.members.Self(now).VM
-	for _, m := range list[:min(acceptRank, len(list))] {
+	for _, m := range list[:min(maxAllocatorRank, len(list))] {
 		if m.VM == self {
 			return true
 		}
@@ -144,21 +149,23 @@
 	return false
 }
 
+// report records a report on the pool and returns the grant, with the interval until the next report.
 func (s *Server) report(model string, r allocator.Report, c *config.Config, now time.Time) allocator.Grant {
-	nodes := len(ranked(model, s.members, c, now))
-	grant := s.reportOn(model, func() []allocator.Group { return s.groups(model, now) }, r, c, nodes, now)
+	nodes := len(rankedNodes(model, s.members, c, now))
+	grant := s.reportToPool(model, func() []allocator.Group { return s.groups(model, now) }, r, c, nodes, now)
 	grant.Interval = max(minInterval, time.Duration(nodes)*intervalPerNode)
 	return grant
 }
 
-// reportOn takes in a report on a pool of those groups; expected is how many nodes share it.
-func (s *Server) reportOn(model string, groups func() []allocator.Group, r allocator.Report, c *config.Config, expected int, now time.Time) allocator.Grant {
+// reportToPool records a report on a pool whose groups are returned by groups. expected is how many nodes report to
+// the pool.
+func (s *Server) reportToPool(model string, groups func() []allocator.Group, r allocator.Report, c *config.Config, expected int, now time.Time) allocator.Grant {
 	p := s.pool(model, now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = now
-	if now.Sub(p.read) >= readEvery {
-		p.read = now
+	p.lastReport = now
+	if now.Sub(p.lastRefresh) >= groupsRefreshInterval {
+		p.lastRefresh = now
 		p.pool.SetGroups(groups())
 	}
 	grant := p.pool.Report(r, c.Share, expected, now)
@@ -166,20 +173,22 @@
 	return grant
 }
 
-// check holds that no group has more places held than it has, for longer than a change may take to settle.
+// check breaches the invariant PlacesHeld if a group has had more places held than it has for longer than a change
+// of its places may take to be applied.
 func (s *Server) check(p *lockedPool, now time.Time) {
 	id, held, places, over := p.pool.Overcommitted()
 	if !over {
-		p.over = time.Time{}
-	} else if p.over.IsZero() {
-		p.over = now
+		p.overSince = time.Time{}
+	} else if p.overSince.IsZero() {
+		p.overSince = now
 	}
-	settled := allocator.GrantLifetime + 2*time.Second
-	s.checker.Hold(invariant.PlacesHeld, !over || now.Sub(p.over) < settled, func() []any {
+	settleTime := allocator.GrantLifetime + 2*time.Second
+	s.checker.Hold(invariant.PlacesHeld, !over || now.Sub(p.overSince) < settleTime, func() []any {
 		return []any{"group", id, "held", held, "places", places}
 	})
 }
 
+// groups returns the groups of the pool; those of a plain service are its endpoints.
 func (s *Server) groups(pool string, now time.Time) []allocator.Group {
 	var out []allocator.Group
 	if routing.IsServicePool(pool) {
@@ -194,14 +203,15 @@
 	return out
 }
 
+// pool returns the pool, which is created if it is missing, and deletes idle pools.
 func (s *Server) pool(model string, now time.Time) *lockedPool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.pools[model]
 	if !ok {
-		since := s.near.since
+		since := s.regional.since
 		if routing.IsServicePool(model) {
-			since = s.anywhere.since
+			since = s.global.since
 		}
 		p = &lockedPool{pool: allocator.NewPool(since)}
 		s.pools[model] = p
@@ -214,15 +224,16 @@
 	return p
 }
 
+// idle reports whether the pool has had no report for idlePoolLifetime; a pool whose lock is taken is in use.
 func (p *lockedPool) idle(now time.Time) bool {
 	if !p.mu.TryLock() {
 		return false
 	}
 	defer p.mu.Unlock()
-	return now.Sub(p.asked) > idlePool
+	return now.Sub(p.lastReport) > idlePoolLifetime
 }
 
-// Waiting returns how many requests wait for each model that falls to this node.
+// Waiting returns how many requests wait for each model that this node allocates.
 func (s *Server) Waiting() replica.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/places/server_test.go
+++ b/internal/places/server_test.go
@@ -12,7 +12,9 @@
 	"moorrun.dev/moorrun/internal/invariant"
 )
 
-func TestPlantedPlaceHeldTwiceIsCaught(t *testing.T) {
+// TestOvercommittedGroupBreachesInvariant checks that a group with more places held than it has breaches the
+// invariant, but only after the time that a change of its places may take to be applied.
+func TestOvercommittedGroupBreachesInvariant(t *testing.T) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	s := &Server{checker: checker}
 	now := time.Unix(1000, 0)
@@ -22,7 +24,7 @@
 		Workspace: "w", Running: []allocator.Places{{Group: "g", Birth: 1, Count: 2}},
 	}}}, func(string) int { return 1 }, 1, now)
 	s.check(p, now)
-	qt.Assert(t, checker.Breaches(), qt.Equals, int64(0), qt.Commentf("a group whose places were just lowered is over for a while"))
+	qt.Assert(t, checker.Breaches(), qt.Equals, int64(0), qt.Commentf("a group whose places were just lowered may be overcommitted for a while"))
 	s.check(p, now.Add(time.Minute))
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(1))
 }
--- a/internal/places/splitter.go
+++ b/internal/places/splitter.go
@@ -10,15 +10,15 @@
 	"moorrun.dev/moorrun/internal/membership"
 )
 
-// Splitter implements admission.Asker without asking anyone: each node takes an equal part of every
-// group's places and divides it by shares on its own. It is the baseline that Asker is compared with.
+// Splitter implements admission.Asker without calls to other nodes: each node takes an equal part of every group's
+// places and divides it by shares on its own. It is the baseline with which Asker is compared.
 type Splitter struct {
 	members *membership.Table
 	current func() *config.Config
 	server  *Server
 }
 
-// NewSplitter returns a Splitter; server must serve nobody else.
+// NewSplitter returns a Splitter. Nothing else may use server.
 func NewSplitter(members *membership.Table, current func() *config.Config, server *Server) *Splitter {
 	return &Splitter{members, current, server}
 }
@@ -30,7 +30,7 @@
 	if c == nil {
 		return allocator.Grant{}, 0, false, errNoConfig
 	}
-	nodes := max(1, len(ranked(model, s.members, c, now)))
+	nodes := max(1, len(rankedNodes(model, s.members, c, now)))
 	r.VM = s.members.Self(now).VM
 	groups := func() []allocator.Group {
 		out := s.server.groups(model, now)
@@ -39,5 +39,5 @@
 		}
 		return out
 	}
-	return s.server.reportOn(model, groups, r, c, 1, now), allocator.GrantLifetime, false, nil
+	return s.server.reportToPool(model, groups, r, c, 1, now), allocator.GrantLifetime, false, nil
 }
