--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Assignment is the one object that says who is in which group of a fabric domain. Its conditional
-// update is the fence: a VM is in two groups only if one record says so, and Check forbids that.
+// Assignment is the single stored record of which VM belongs to which group of a fabric domain. It is written
+// with compare-and-swap, so a VM could be in two groups only if one record listed it twice, which Check rejects.
 type Assignment struct {
 	Domain     string   `json:"domain"`
 	DataCentre string   `json:"data_centre"`
 	Holder     string   `json:"holder"`     // VM whose lease covered the write
 	Epoch      int64    `json:"epoch"`      // epoch of that lease
-	Revision   int64    `json:"revision"`   // of the configuration it was planned from
-	Generation int64    `json:"generation"` // grows with every write; orders carry it
-	NextGroup  int64    `json:"next_group"` // number of the next group's id
-	Free       int      `json:"free"`       // VMs in no group that could be used
+	Revision   int64    `json:"revision"`   // revision of the configuration it was planned from
+	Generation int64    `json:"generation"` // increases with every write; orders to engines carry it
+	NextGroup  int64    `json:"next_group"` // number of the last group id given out; the next group gets NextGroup + 1
+	Free       int      `json:"free"`       // number of usable VMs in no group
 	Groups     []*Group `json:"groups"`
-	Warm       []Warm   `json:"warm,omitempty"` // free VMs that hold weights as spares
+	Warm       []Warm   `json:"warm,omitempty"` // free VMs that hold a model's weights as spares
 	Operation  string   `json:"operation"`      // id of the write
 }
 
-// Clone returns a copy that shares nothing with a.
+// Clone returns a deep copy of a.
 func (a *Assignment) Clone() *Assignment {
 	c := *a
 	c.Warm = slices.Clone(a.Warm)
@@ -33,13 +33,13 @@
 	return &c
 }
 
-// Check returns an error when a VM stands in two groups, a group lists a VM twice or two groups share an id.
+// Check returns an error if a VM is in two groups, a group lists a VM twice or two groups have the same id.
 func (a *Assignment) Check() error {
 	vms := make(map[string]string)
 	ids := make(map[string]bool)
 	for _, g := range a.Groups {
 		if ids[g.ID] {
-			return fmt.Errorf("domain %s generation %d: group id %s stands twice", a.Domain, a.Generation, g.ID)
+			return fmt.Errorf("domain %s generation %d: group id %s is used twice", a.Domain, a.Generation, g.ID)
 		}
 		ids[g.ID] = true
 		for _, vm := range g.VMs {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Group returns the group with that id, or nil.
+// Group returns the group with the given id, or nil.
 func (a *Assignment) Group(id string) *Group {
 	i := slices.IndexFunc(a.Groups, func(g *Group) bool { return g.ID == id })
 	if i < 0 {
@@ -61,7 +61,7 @@
 	return a.Groups[i]
 }
 
-// GroupOf returns the group that vm is in, or nil.
+// GroupOf returns the group that contains vm, or nil.
 func (a *Assignment) GroupOf(vm string) *Group {
 	i := slices.IndexFunc(a.Groups, func(g *Group) bool { return slices.Contains(g.VMs, vm) })
 	if i < 0 {
--- a/internal/replica/leave.go
+++ b/internal/replica/drain.go
@@ -4,8 +4,9 @@
 	"slices"
 )
 
-// breakDrained breaks up the draining groups that have finished.
-func (pl *planner) breakDrained() {
+// removeDrained removes draining groups that are idle, whose leader is lost, or that exceeded DrainLimit.
+// No group is removed before DrainFloor has passed.
+func (pl *planner) removeDrained() {
 	for _, g := range slices.Clone(pl.next.Groups) {
 		if g.State != Draining {
 			continue
@@ -19,7 +20,7 @@
 		dead := leader.silent(pl.view.Now, pl.policy.LossAfter) || leader.Gone
 		if idle || dead || since > pl.policy.DrainLimit {
 			pl.next.remove(g.ID)
-			pl.note(g.ID, "drained, broken up")
+			pl.recordChange(g.ID, "drained, broken up")
 		}
 	}
 }
@@ -30,10 +31,10 @@
 	}
 	g.State = Draining
 	g.Reason = reason
-	pl.note(g.ID, "draining: %s", reason)
+	pl.recordChange(g.ID, "draining: %s", reason)
 }
 
-// dropSurplus drains groups of models that are no longer declared or have too many groups.
+// dropSurplus drains groups of models that are no longer declared and groups that placement wants dropped.
 func (pl *planner) dropSurplus() {
 	for _, g := range pl.next.Groups {
 		if _, declared := pl.view.Models[g.Model]; !declared {
@@ -44,31 +45,32 @@
 	}
 }
 
-// drainLeaving drains groups with a VM that is on its way out, after another group has taken their place
-// where there are VMs for one.
-func (pl *planner) drainLeaving() {
+// drainGroupsWithLeavingVMs drains groups that contain a leaving VM. Where enough VMs are free, a replacement
+// group is formed first.
+func (pl *planner) drainGroupsWithLeavingVMs() {
 	for _, g := range slices.Clone(pl.next.Groups) {
 		i := slices.IndexFunc(g.VMs, func(vm string) bool { return pl.view.VMs[vm].Leaving })
 		if i < 0 || g.State == Draining {
 			continue
 		}
-		if pl.replaceFirst(g) {
+		if pl.formReplacement(g) {
 			continue
 		}
 		pl.drain(g, "VM "+g.VMs[i]+" is leaving")
 	}
 }
 
-// replaceFirst forms a group to take a leaving one's place, and reports whether to wait for it.
-func (pl *planner) replaceFirst(g *Group) bool {
+// formReplacement forms a replacement for a group with a leaving VM, and reports whether draining must wait
+// for that replacement.
+func (pl *planner) formReplacement(g *Group) bool {
 	m, declared := pl.view.Models[g.Model]
 	if !declared || g.State != Serving {
 		return false
 	}
 	if g.Leaving {
-		return pl.onTheMove(g.Model)
+		return pl.inTransition(g.Model)
 	}
-	if !pl.formOne(m) {
+	if !pl.formGroup(m) {
 		return false
 	}
 	g.Leaving = true
--- a/internal/replica/roll.go
+++ b/internal/replica/may_roll.go
@@ -2,9 +2,10 @@
 
 import "moorrun.dev/moorrun/internal/config"
 
-// MayRoll reports whether g may be taken out for a new version: no other group of its model is on its way
-// in or out, the model keeps one group less than its minimum at the least, and g is the first outdated
-// one, so that the holders of two data centres do not take one each.
+// MayRoll reports whether g may be drained for a new version. This requires that all groups of its model are serving,
+// that at least one group less than the model's minimum remains, and that g is the outdated group with the
+// lowest id, so that the lease holders of two data centres do not drain one each. A model's only group may be
+// drained.
 func MayRoll(g *Group, m config.Model, assignments []*Assignment) bool {
 	serving, total := 0, 0
 	for _, a := range assignments {
--- a/internal/replica/memory.go
+++ b/internal/replica/memory.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Memory is what the planner of one fabric domain remembers between plans; a new lease holder starts empty.
+// Memory is the planner's in-memory state for one fabric domain between plans. A new lease holder starts with an
+// empty one.
 type Memory struct {
-	lostSince  map[string]time.Time // VM → last answer before its silence
-	givenUp    map[string]bool      // VMs whose silence has outlasted the longest wait
-	drainSince map[string]time.Time // group → when this holder first saw it draining
-	pauses     pauseLog
-	reload     time.Duration // latest measured load of a group, 0 before the first
+	lostSince    map[string]time.Time // VM → time of its last answer before it was lost
+	waitExceeded map[string]bool      // lost VMs silent for longer than Policy.MaxWait
+	drainSince   map[string]time.Time // group id → when this lease holder first saw it draining
+	pauses       pauseLog
+	reload       time.Duration // latest measured load time of a group; 0 if none was measured yet
 }
 
 // NewMemory returns an empty Memory.
 func NewMemory() *Memory {
-	return &Memory{lostSince: make(map[string]time.Time), givenUp: make(map[string]bool), drainSince: make(map[string]time.Time)}
+	return &Memory{lostSince: make(map[string]time.Time), waitExceeded: make(map[string]bool), drainSince: make(map[string]time.Time)}
 }
 
-// observe updates what is remembered about silent VMs and draining groups.
+// observe updates the state of lost VMs, load times and draining groups from v and a.
 func (m *Memory) observe(a *Assignment, v View, p Policy) {
 	for _, vm := range v.Domain.VMs {
 		state := v.VMs[vm.Name]
@@ -26,14 +27,14 @@
 		case state.silent(v.Now, p.LossAfter) && !wasLost:
 			m.lostSince[vm.Name] = state.LastAnswer
 		case !state.silent(v.Now, p.LossAfter) && wasLost:
-			if !m.givenUp[vm.Name] {
+			if !m.waitExceeded[vm.Name] {
 				m.pauses.add(state.LastAnswer.Sub(since))
 			}
 			delete(m.lostSince, vm.Name)
-			delete(m.givenUp, vm.Name)
-		case wasLost && v.Now.Sub(since) > p.MaxWait && !m.givenUp[vm.Name]:
-			m.givenUp[vm.Name] = true
-			m.pauses.giveUp()
+			delete(m.waitExceeded, vm.Name)
+		case wasLost && v.Now.Sub(since) > p.MaxWait && !m.waitExceeded[vm.Name]:
+			m.waitExceeded[vm.Name] = true
+			m.pauses.addLost()
 		}
 		if ms := state.State.LoadMillis; state.Answered && state.State.Ready && ms > 0 {
 			m.reload = time.Duration(ms) * time.Millisecond
--- a/internal/replica/pause_log.go
+++ b/internal/replica/pause_log.go
@@ -4,10 +4,11 @@
 
 const maxPauses = 64
 
-// pauseLog remembers how long the latest silences lasted that ended with the VM's return.
+// pauseLog records the lengths of the latest maxPauses silences that ended with the VM's return, and how many
+// silences exceeded the longest wait.
 type pauseLog struct {
 	lengths []time.Duration
-	lost    int // silences that were given up
+	lost    int // silences that exceeded Policy.MaxWait, at most maxPauses
 }
 
 func (l *pauseLog) add(d time.Duration) {
@@ -17,10 +18,10 @@
 	}
 }
 
-// returned is the part of silences that ended with the VM's return, a half before any is known.
-func (l *pauseLog) returned() float64 {
+// returnedFraction estimates the fraction of silences that end with the VM's return; 0.5 before any is recorded.
+func (l *pauseLog) returnedFraction() float64 {
 	return float64(len(l.lengths)+1) / float64(len(l.lengths)+l.lost+2)
 }
 
-// giveUp notes a silence that has not ended within the longest wait.
-func (l *pauseLog) giveUp() { l.lost = min(l.lost+1, maxPauses) }
+// addLost records a silence that exceeded the longest wait.
+func (l *pauseLog) addLost() { l.lost = min(l.lost+1, maxPauses) }
--- a/internal/replica/placement.go
+++ b/internal/replica/placement.go
@@ -8,38 +8,38 @@
 	"moorrun.dev/moorrun/internal/config"
 )
 
-// Placement says which domains should add or drop groups. Every lease holder works it out from the
-// same objects, so at most one of them acts on a missing group, except while their copies differ;
-// a group formed too many is dropped by the same rule.
+// Placement lists the groups that each domain should add or drop. Every lease holder computes it from the same
+// objects, so only one of them adds a missing group, except while their copies differ. A surplus group formed in
+// that case is dropped by the same computation.
 type Placement struct {
-	Add  map[string][]string // domain → models, the most deserving first
+	Add  map[string][]string // domain → models, highest priority first
 	Drop map[string][]string // domain → group ids
 }
 
-// Demand is how many requests wait for each model.
+// Demand maps a model to its number of waiting requests.
 type Demand map[string]int
 
-// Place decides from the assignments of all domains of a region.
+// Place computes the placement from the assignments of all domains of a region.
 func Place(c *config.Config, assignments []*Assignment, demand Demand) Placement {
 	p := newPlacer(c, assignments, demand)
-	p.fill(func(m config.ModelOf) int { return m.Replicas.Min })
+	p.addGroups(func(m config.ModelOf) int { return m.Replicas.Min })
 	p.reclaim()
-	p.fill(func(m config.ModelOf) int { return m.Replicas.Max })
-	p.trim()
+	p.addGroups(func(m config.ModelOf) int { return m.Replicas.Max })
+	p.dropExcess()
 	return p.out
 }
 
 type placer struct {
-	config *config.Config
-	demand Demand
-	free   map[string]int      // domain → free VMs
-	groups map[string][]*Group // model → groups not draining
-	domain map[string]string   // group id → domain
-	used   map[string]int      // workspace → VMs
-	count  map[string]int      // model → groups, planned ones included
-	unmet  []string            // models below their minimum without room
-	models []string
-	out    Placement
+	config      *config.Config
+	demand      Demand
+	free        map[string]int      // domain → free VMs
+	groups      map[string][]*Group // model → groups that are not draining
+	domain      map[string]string   // group id → domain
+	used        map[string]int      // workspace → VMs in its groups, planned ones included
+	count       map[string]int      // model → number of groups that are not draining, planned ones included
+	withoutRoom []string            // models below their target for which no domain has enough free VMs
+	models      []string
+	out         Placement
 }
 
 func newPlacer(c *config.Config, assignments []*Assignment, demand Demand) *placer {
@@ -63,20 +63,21 @@
 	return p
 }
 
-// fill adds one group after the other, each for the workspace furthest below its share.
-func (p *placer) fill(target func(config.ModelOf) int) {
-	p.unmet = p.unmet[:0]
+// addGroups adds groups one at a time, in the order given by hasPriority, until each model has reached its target
+// or no domain has room for it.
+func (p *placer) addGroups(target func(config.ModelOf) int) {
+	p.withoutRoom = p.withoutRoom[:0]
 	full := make(map[string]bool)
 	for {
-		name := p.neediest(target, full)
+		name := p.nextModel(target, full)
 		if name == "" {
 			return
 		}
 		m := p.config.Models()[name]
-		domain := p.roomiest(m.VMsPerReplica)
+		domain := p.domainWithMostFree(m.VMsPerReplica)
 		if domain == "" {
 			full[name] = true
-			p.unmet = append(p.unmet, name)
+			p.withoutRoom = append(p.withoutRoom, name)
 			continue
 		}
 		p.free[domain] -= m.VMsPerReplica
@@ -86,23 +87,23 @@
 	}
 }
 
-func (p *placer) neediest(target func(config.ModelOf) int, full map[string]bool) string {
+func (p *placer) nextModel(target func(config.ModelOf) int, full map[string]bool) string {
 	best := ""
 	for _, name := range p.models {
 		m := p.config.Models()[name]
 		if full[name] || p.count[name] >= target(m) {
 			continue
 		}
-		if best == "" || p.before(name, best) {
+		if best == "" || p.hasPriority(name, best) {
 			best = name
 		}
 	}
 	return best
 }
 
-// before reports whether model a deserves the next group more than b: waiting requests first, then
-// the workspace with fewer VMs for its share.
-func (p *placer) before(a, b string) bool {
+// hasPriority reports whether model a gets the next group before b: models with waiting requests first, then
+// those of the workspace with fewer VMs relative to its share, then those with fewer groups.
+func (p *placer) hasPriority(a, b string) bool {
 	if wa, wb := p.demand[a] > 0, p.demand[b] > 0; wa != wb {
 		return wa
 	}
@@ -115,7 +116,7 @@
 	return p.count[a] < p.count[b]
 }
 
-func (p *placer) roomiest(vms int) string {
+func (p *placer) domainWithMostFree(vms int) string {
 	best := ""
 	for _, name := range slices.Sorted(maps.Keys(p.free)) {
 		if p.free[name] >= vms && (best == "" || p.free[name] > p.free[best]) {
@@ -125,9 +126,10 @@
 	return best
 }
 
-// reclaim drops a lent group for each model that is below its minimum without room.
+// reclaim drops, for each model below its minimum without room, one group of a model that is above its own
+// minimum and whose groups have at least as many VMs.
 func (p *placer) reclaim() {
-	for _, name := range p.unmet {
+	for _, name := range p.withoutRoom {
 		m := p.config.Models()[name]
 		for _, other := range p.models {
 			o := p.config.Models()[other]
@@ -140,13 +142,13 @@
 	}
 }
 
-// trim drops the groups above a model's maximum. A group formed to take an outdated one's place
-// counts only once it serves.
-func (p *placer) trim() {
+// dropExcess drops the groups above a model's maximum. While a model has outdated groups, a replacement counts
+// only once it serves.
+func (p *placer) dropExcess() {
 	for _, name := range p.models {
 		limit := p.config.Models()[name].Replicas.Max
 		for p.count[name] > limit && len(p.groups[name]) > 0 {
-			if p.outdated(name) && p.serving(name) <= limit {
+			if p.hasOutdated(name) && p.servingCount(name) <= limit {
 				break
 			}
 			p.dropLast(name)
@@ -154,12 +156,12 @@
 	}
 }
 
-func (p *placer) outdated(model string) bool {
+func (p *placer) hasOutdated(model string) bool {
 	m := p.config.Models()[model]
 	return slices.ContainsFunc(p.groups[model], func(g *Group) bool { return !g.current(m.Model) })
 }
 
-func (p *placer) serving(model string) int {
+func (p *placer) servingCount(model string) int {
 	n := 0
 	for _, g := range p.groups[model] {
 		if g.State == Serving {
@@ -185,7 +187,7 @@
 	p.out.Drop[domain] = append(p.out.Drop[domain], g.ID)
 }
 
-// dropRank puts the groups that cost least to drop last.
+// dropRank returns the sort rank of a group; groups that cost least to drop have the highest rank.
 func dropRank(g *Group, m config.Model) int {
 	switch {
 	case g.State == Serving && g.current(m):
--- a/internal/replica/plan.go
+++ b/internal/replica/plan.go
@@ -8,35 +8,35 @@
 	"moorrun.dev/moorrun/internal/config"
 )
 
-// Change says why a plan differs from the assignment before it.
+// Change describes one difference between a plan and the assignment before it.
 type Change struct {
 	Group  string
 	Reason string
 }
 
-// Plan returns the assignment that should follow a, and why; no changes mean a stands.
-// The caller writes it under its lease and gives it the next generation first: births in the
-// returned assignment are that generation.
+// Plan returns the assignment that should follow a and the changes with their reasons; without changes it returns
+// a itself. The caller writes the result under its lease, with the generation after a's: the Birth of each group
+// changed by this plan is that generation.
 func Plan(a *Assignment, v View, m *Memory, p Policy) (*Assignment, []Change) {
 	m.observe(a, v, p)
 	pl := planner{next: a.Clone(), view: v, memory: m, policy: p, loads: v.Loads}
 	pl.next.Generation = a.Generation + 1
-	pl.promote()
-	pl.breakDrained()
+	pl.markServing()
+	pl.removeDrained()
 	pl.dropSurplus()
-	pl.drainLeaving()
-	pl.mendLosses()
-	pl.roll()
-	pl.form()
+	pl.drainGroupsWithLeavingVMs()
+	pl.replaceLostVMs()
+	pl.replaceOutdated()
+	pl.formGroups()
 	if pl.policy.Wait == WaitLearned {
-		pl.warm()
+		pl.assignSpares()
 	}
-	pl.next.Free = len(pl.free())
+	pl.next.Free = len(pl.freeVMs())
 	if len(pl.changes) == 0 && pl.next.Free == a.Free {
 		return a, nil
 	}
 	if len(pl.changes) == 0 {
-		pl.note("", "free VMs are now %d", pl.next.Free)
+		pl.recordChange("", "number of free VMs is now %d", pl.next.Free)
 	}
 	return pl.next, pl.changes
 }
@@ -46,15 +46,15 @@
 	view    View
 	memory  *Memory
 	policy  Policy
-	loads   int
+	loads   int // VM loads that this plan may still start
 	changes []Change
 }
 
-func (pl *planner) note(group, format string, args ...any) {
+func (pl *planner) recordChange(group, format string, args ...any) {
 	pl.changes = append(pl.changes, Change{group, fmt.Sprintf(format, args...)})
 }
 
-// Whole reports whether every VM of the group says it is ready in it.
+// Whole reports whether every VM of the group has answered within limit and reports that it is ready in the group.
 func Whole(g *Group, vms map[string]VMView, now time.Time, limit time.Duration) bool {
 	for _, vm := range g.VMs {
 		v := vms[vm]
@@ -65,33 +65,33 @@
 	return true
 }
 
-// promote marks the groups that have become whole.
-func (pl *planner) promote() {
+// markServing moves forming groups whose VMs are all ready to Serving.
+func (pl *planner) markServing() {
 	for _, g := range pl.next.Groups {
 		if g.State == Forming && Whole(g, pl.view.VMs, pl.view.Now, pl.policy.LossAfter) {
 			g.State = Serving
 			g.Served = true
-			pl.note(g.ID, "whole")
+			pl.recordChange(g.ID, "whole")
 		}
 	}
 }
 
-// roll replaces groups of outdated versions: by a new group first where VMs are free, else by taking
-// one out at a time.
-func (pl *planner) roll() {
+// replaceOutdated replaces groups that no longer match their model's declaration. Where enough VMs are free, a new
+// group is formed first; otherwise one outdated group at a time is drained.
+func (pl *planner) replaceOutdated() {
 	for _, g := range pl.next.Groups {
 		m, declared := pl.view.Models[g.Model]
 		if !declared || g.State == Draining || g.current(m.Model) {
 			continue
 		}
 		if g.State == Forming {
-			pl.reshape(g, m.Model)
+			pl.updateForming(g, m.Model)
 			continue
 		}
-		if pl.onTheMove(m.Name) {
+		if pl.inTransition(m.Name) {
 			continue
 		}
-		if pl.formOne(m) {
+		if pl.formGroup(m) {
 			return
 		}
 		if pl.view.MayRoll == nil || pl.view.MayRoll(g) {
@@ -101,38 +101,39 @@
 	}
 }
 
-// onTheMove reports whether a group of the model is on its way in or out of use here.
-func (pl *planner) onTheMove(model string) bool {
+// inTransition reports whether a group of the model is forming or draining in this domain.
+func (pl *planner) inTransition(model string) bool {
 	return slices.ContainsFunc(pl.next.Groups, func(g *Group) bool { return g.Model == model && g.State != Serving })
 }
 
-// reshape gives a group that does not serve yet the declared version at once.
-func (pl *planner) reshape(g *Group, m config.Model) {
+// updateForming changes a group that is still forming to the declared version, or breaks it up if the number of VMs
+// has changed.
+func (pl *planner) updateForming(g *Group, m config.Model) {
 	if len(g.VMs) != m.VMsPerReplica {
 		pl.next.remove(g.ID)
-		pl.note(g.ID, "broken up: its model now takes %d VMs", m.VMsPerReplica)
+		pl.recordChange(g.ID, "broken up: its model now takes %d VMs", m.VMsPerReplica)
 		return
 	}
 	g.Version, g.Adapters, g.Places = m.Version, slices.Clone(m.Adapters), m.PlacesPerReplica
 	g.Birth = pl.next.Generation
-	pl.note(g.ID, "forming with version %s", m.Version)
+	pl.recordChange(g.ID, "forming with version %s", m.Version)
 }
 
-// form builds wanted groups from free VMs.
-func (pl *planner) form() {
+// formGroups forms the groups requested by View.Add from free VMs.
+func (pl *planner) formGroups() {
 	for _, name := range pl.view.Add {
 		if m, ok := pl.view.Models[name]; ok {
-			pl.formOne(m)
+			pl.formGroup(m)
 		}
 	}
 }
 
-// formOne builds one group if the VMs and the weight store's rate allow it.
-func (pl *planner) formOne(m config.ModelOf) bool {
+// formGroup forms one group if enough VMs are free and the weight store's rate allows the loads.
+func (pl *planner) formGroup(m config.ModelOf) bool {
 	if pl.loads < m.VMsPerReplica {
 		return false
 	}
-	vms := pl.pick(m.Model)
+	vms := pl.pickVMs(m.Model)
 	if vms == nil {
 		return false
 	}
@@ -144,29 +145,29 @@
 		Places: m.PlacesPerReplica, VMs: vms, Birth: pl.next.Generation, State: Forming,
 	}
 	pl.next.Groups = append(pl.next.Groups, g)
-	pl.note(g.ID, "formed for %s", m.Name)
+	pl.recordChange(g.ID, "formed for %s", m.Name)
 	return true
 }
 
-// pick returns the VMs of a new group, those that hold the weights first, or nil when too few are free.
-func (pl *planner) pick(m config.Model) []string {
-	free := pl.free()
+// pickVMs returns the VMs for a new group, preferring those that hold the weights, or nil if too few are free.
+func (pl *planner) pickVMs(m config.Model) []string {
+	free := pl.freeVMs()
 	if len(free) < m.VMsPerReplica {
 		return nil
 	}
-	pl.warmFirst(free, m.Name, m.Version)
+	pl.sortWarmFirst(free, m.Name, m.Version)
 	return free[:m.VMsPerReplica]
 }
 
-// warmFirst puts the VMs that hold a model's weights first.
-func (pl *planner) warmFirst(vms []string, model, version string) {
+// sortWarmFirst sorts the VMs that hold the model's weights to the front.
+func (pl *planner) sortWarmFirst(vms []string, model, version string) {
 	slices.SortStableFunc(vms, func(a, b string) int {
-		return pl.holds(b, model, version) - pl.holds(a, model, version)
+		return pl.weightsHeld(b, model, version) - pl.weightsHeld(a, model, version)
 	})
 }
 
-// holds is 1 when the VM holds the model's weights and 0 when not, to be counted and sorted by.
-func (pl *planner) holds(vm, model, version string) int {
+// weightsHeld returns 1 if the VM holds the model's weights and 0 otherwise, for counting and sorting.
+func (pl *planner) weightsHeld(vm, model, version string) int {
 	s := pl.view.VMs[vm].State
 	if s.Model == model && s.Version == version {
 		return 1
@@ -174,8 +175,8 @@
 	return 0
 }
 
-// free returns the usable VMs that are in no group, in the domain's order.
-func (pl *planner) free() []string {
+// freeVMs returns the usable VMs that are in no group, in the order in which the domain declares them.
+func (pl *planner) freeVMs() []string {
 	var out []string
 	for _, vm := range pl.view.Domain.VMs {
 		if pl.next.GroupOf(vm.Name) != nil || !pl.view.VMs[vm.Name].usable(pl.view.Now, pl.policy.LossAfter) {
--- a/internal/replica/plan_test.go
+++ b/internal/replica/plan_test.go
@@ -19,14 +19,14 @@
 
 var model = replicatest.Model
 
-func TestGroupsFormAndBecomeWhole(t *testing.T) {
+func TestGroupsFormAndServe(t *testing.T) {
 	b := replicatest.New(9, loadTime, model("m", "1", 4, 2, 2))
 	b.Run(5 * time.Second)
 	qt.Assert(t, b.Serving("1"), qt.Equals, 2)
 	qt.Assert(t, b.Assignment.Free, qt.Equals, 1)
 }
 
-func TestWarmSpareTakesALostMembersPlaceAtOnce(t *testing.T) {
+func TestWarmSpareReplacesALostVMWithoutReload(t *testing.T) {
 	b := replicatest.New(5, 30*time.Second, model("m", "1", 4, 1, 1))
 	b.Run(2 * time.Minute)
 	b.VMs[b.Assignment.Groups[0].VMs[1]].Silent = true
@@ -35,26 +35,26 @@
 	qt.Assert(t, b.Assignment.Groups[0].VMs[1], qt.Equals, "vm4")
 }
 
-func TestSpareTakesALostMembersPlaceAfterTheLimit(t *testing.T) {
+func TestColdSpareReplacesALostVMAfterTheWaitLimit(t *testing.T) {
 	b := replicatest.New(5, loadTime, model("m", "1", 4, 1, 1))
 	b.ColdSpares = true
 	b.Run(5 * time.Second)
 	lost := b.Assignment.Groups[0].VMs[1]
 	b.VMs[lost].Silent = true
 	b.Run(time.Second)
-	qt.Assert(t, slices.Contains(b.Assignment.Groups[0].VMs, lost), qt.IsTrue, qt.Commentf("a short pause costs no reload"))
+	qt.Assert(t, slices.Contains(b.Assignment.Groups[0].VMs, lost), qt.IsTrue, qt.Commentf("a pause shorter than the wait limit must not cause a reload"))
 	b.Run(10 * time.Second)
 	qt.Assert(t, slices.Contains(b.Assignment.Groups[0].VMs, lost), qt.IsFalse)
 	qt.Assert(t, b.Serving("1"), qt.Equals, 1)
 }
 
-func TestKnownPausesAreWaitedOut(t *testing.T) {
+func TestRecordedPausesAreWaitedOut(t *testing.T) {
 	b := replicatest.New(5, loadTime, model("m", "1", 4, 1, 1))
 	b.Policy.Reload = 4 * time.Second
 	b.ColdSpares = true
 	b.Run(5 * time.Second)
 	members := slices.Clone(b.Assignment.Groups[0].VMs)
-	for range 10 { // pauses a little shorter than a reload are seen to end
+	for range 10 { // record pauses slightly shorter than a reload
 		b.VMs[members[2]].Silent = true
 		b.Run(1700 * time.Millisecond)
 		b.VMs[members[2]].Silent = false
@@ -63,19 +63,19 @@
 	qt.Assert(t, b.Assignment.Groups[0].VMs, qt.DeepEquals, members)
 }
 
-func TestNewVersionTakesFreeVMsFirstAndKeepsTheFloor(t *testing.T) {
+func TestNewVersionUsesFreeVMsFirstAndKeepsAMinimumServing(t *testing.T) {
 	for _, vms := range []int{8, 12} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
 			b := replicatest.New(vms, loadTime, model("m", "1", 4, 2, 2))
 			b.Run(5 * time.Second)
 			b.Declare(model("m", "2", 4, 2, 2))
-			floor := 1
+			minServing := 1
 			if vms == 12 {
-				floor = 2
+				minServing = 2
 			}
 			for range 200 {
 				b.Step(200 * time.Millisecond)
-				qt.Assert(t, b.Serving("1")+b.Serving("2") >= floor, qt.IsTrue)
+				qt.Assert(t, b.Serving("1")+b.Serving("2") >= minServing, qt.IsTrue)
 			}
 			qt.Assert(t, b.Serving("2"), qt.Equals, 2)
 			qt.Assert(t, b.Serving("1"), qt.Equals, 0)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestLentGroupComesBackToTheModelBelowItsMinimum(t *testing.T) {
+func TestGroupIsReclaimedForAModelBelowItsMinimum(t *testing.T) {
 	b := replicatest.New(8, loadTime, model("lender", "1", 4, 0, 1), model("borrower", "1", 4, 1, 2))
 	b.Declare(model("borrower", "1", 4, 1, 2))
 	b.Run(8 * time.Second)
@@ -109,11 +109,11 @@
 				vm.Leaving = !vm.Leaving
 			case 2:
 				vm.Gone = !vm.Gone
-			case 3: // a restart with nothing in memory
+			case 3: // the engine restarts with no model loaded
 				vm.View.State = infra.EngineState{}
 			case 4:
 				b.Declare(model("m", fmt.Sprint(i), 4, 1, 2), model("n", "1", 5, rapid.IntRange(0, 1).Draw(t, "min"), 1))
-			case 5: // another holder, which remembers nothing
+			case 5: // a new lease holder starts with empty memory
 				b.Memory = replica.NewMemory()
 			}
 			changes := b.Step(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
--- a/internal/replica/policy.go
+++ b/internal/replica/policy.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Policy holds the planner's durations.
+// Policy holds the planner's durations and its rule for lost VMs.
 type Policy struct {
-	LossAfter  time.Duration // silence after which a VM counts as lost
-	DrainFloor time.Duration // a draining group is kept at least that long, until no router uses it
-	DrainLimit time.Duration // a draining group is broken up after that even if requests still run
-	Reload     time.Duration // how long a group takes to load when none has been measured
-	Reform     time.Duration // how long a group takes to be whole again with VMs that hold the weights
-	Wait       WaitRule      // rule for the time a lost VM is waited for
-	MaxWait    time.Duration // a lost VM is waited for at most that long while a spare could take its place
+	LossAfter  time.Duration // time without an answer after which a VM counts as lost
+	DrainFloor time.Duration // minimum time a draining group is kept, until no router uses it any more
+	DrainLimit time.Duration // time after which a draining group is broken up even if requests still run
+	Reload     time.Duration // assumed load time of a group if none has been measured
+	Reform     time.Duration // time a group takes to become ready again with VMs that already hold the weights
+	Wait       WaitRule      // how the wait limit for a lost VM is chosen
+	MaxWait    time.Duration // longest wait for a lost VM while a spare could replace it
 }
 
-// DefaultPolicy is used by moorrund.
+// DefaultPolicy is the policy that moorrund uses.
 var DefaultPolicy = Policy{
 	LossAfter:  2500 * time.Millisecond,
 	DrainFloor: 3 * time.Second,
--- a/internal/replica/replicatest/domain.go
+++ b/internal/replica/replicatest/domain.go
@@ -1,4 +1,4 @@
-// Package replicatest plays fabric domains against the planner with a clock of its own.
+// Package replicatest simulates fabric domains against the planner on a simulated clock.
 package replicatest
 
 import (
@@ -10,10 +10,10 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// Accelerators is how many each VM has.
+// Accelerators is the number of accelerators of each VM.
 const Accelerators = 8
 
-// Domain is one fabric domain whose engines obey at once and load weights for a while.
+// Domain is one simulated fabric domain. Its engines follow orders immediately and take LoadTime to load weights.
 type Domain struct {
 	Now        time.Time
 	LoadTime   time.Duration
@@ -24,24 +24,24 @@
 	Memory     *replica.Memory
 	Policy     replica.Policy
 	Prices     config.Prices
-	ColdSpares bool          // spares cannot load ahead
-	Downtime   time.Duration // group seconds out of use, of groups that had served
-	Stranded   time.Duration // accelerator seconds idle in groups that are not whole, or in none
+	ColdSpares bool          // spares do not load weights in advance
+	Downtime   time.Duration // summed over the required groups, time in which a group was missing or not ready
+	Stranded   time.Duration // summed over accelerators, idle time on VMs in no group or in one that is not ready
 }
 
-// VM is one engine VM.
+// VM is one simulated engine VM.
 type VM struct {
 	Silent, Leaving, Gone bool
 	View                  replica.VMView
 	readyAt               time.Time
 }
 
-// Model declares a model for a Domain.
+// Model returns the declaration of a model whose replicas have vms VMs each, with least to most replicas.
 func Model(name, version string, vms, least, most int) config.Model {
 	return config.Model{Name: name, Version: version, VMsPerReplica: vms, PlacesPerReplica: 8, Replicas: config.Replicas{Min: least, Max: most}}
 }
 
-// New returns a domain of that many VMs, named vm0 and so on.
+// New returns a domain with the given number of VMs, named vm0, vm1 and so on.
 func New(vms int, loadTime time.Duration, models ...config.Model) *Domain {
 	d := &Domain{
 		Now: time.Unix(1000, 0), LoadTime: loadTime, VMs: make(map[string]*VM), Assignment: &replica.Assignment{Domain: "d"},
@@ -59,7 +59,7 @@
 	return d
 }
 
-// Declare replaces the models.
+// Declare replaces the declared models.
 func (d *Domain) Declare(models ...config.Model) {
 	d.Config = config.New(1, config.Set{
 		"workspace/w":   {Workspace: &config.Workspace{Name: "w", Models: models}},
@@ -67,11 +67,11 @@
 	})
 }
 
-// Step lets time pass, the engines answer and obey, and one plan be made.
+// Step advances the clock by pass, lets the engines answer and follow their orders, and makes one plan.
 func (d *Domain) Step(pass time.Duration) []replica.Change {
 	d.Now = d.Now.Add(pass)
-	views := d.look()
-	d.measure(views, pass)
+	views := d.collectViews()
+	d.accumulateCosts(views, pass)
 	all := []*replica.Assignment{d.Assignment}
 	p := replica.Place(d.Config, all, nil)
 	next, changes := replica.Plan(d.Assignment, replica.View{
@@ -83,7 +83,7 @@
 	return changes
 }
 
-// Run steps until so much time has passed.
+// Run advances the domain by length, in steps of 200 ms.
 func (d *Domain) Run(length time.Duration) {
 	const step = 200 * time.Millisecond
 	for end := d.Now.Add(length); d.Now.Before(end); {
@@ -91,7 +91,7 @@
 	}
 }
 
-// Serving returns how many groups of a version serve.
+// Serving returns the number of serving groups of the given version.
 func (d *Domain) Serving(version string) int {
 	n := 0
 	for _, g := range d.Assignment.Groups {
@@ -102,11 +102,11 @@
 	return n
 }
 
-func (d *Domain) look() map[string]replica.VMView {
+func (d *Domain) collectViews() map[string]replica.VMView {
 	views := make(map[string]replica.VMView, len(d.VMs))
 	for name, vm := range d.VMs {
 		if !vm.Silent && !vm.Gone {
-			vm.obey(name, d.Assignment, d.Now, d.LoadTime, d.ColdSpares)
+			vm.applyAssignment(name, d.Assignment, d.Now, d.LoadTime, d.ColdSpares)
 			vm.View.LastAnswer = d.Now
 		}
 		v := vm.View
@@ -116,7 +116,7 @@
 	return views
 }
 
-func (vm *VM) obey(name string, a *replica.Assignment, now time.Time, load time.Duration, cold bool) {
+func (vm *VM) applyAssignment(name string, a *replica.Assignment, now time.Time, load time.Duration, cold bool) {
 	s := &vm.View.State
 	g := a.GroupOf(name)
 	if g == nil {
@@ -136,9 +136,9 @@
 	s.Ready = !now.Before(vm.readyAt)
 }
 
-// measure charges the passed time to groups that are not whole and to idle accelerators. A group that should
-// be there is down from its first loss until it, or another in its place, is whole.
-func (d *Domain) measure(views map[string]replica.VMView, pass time.Duration) {
+// accumulateCosts adds the passed time to Downtime and Stranded. A required group is down from its first loss until
+// it, or a replacement, is ready.
+func (d *Domain) accumulateCosts(views map[string]replica.VMView, pass time.Duration) {
 	whole := 0
 	for _, vm := range d.Declared.VMs {
 		g := d.Assignment.GroupOf(vm.Name)
--- a/internal/replica/state.go
+++ b/internal/replica/state.go
@@ -1,13 +1,13 @@
 package replica
 
-// State is the stage of a replica group's life.
+// State is the lifecycle state of a replica group.
 type State string
 
 const (
-	// Forming is a group whose VMs have been ordered to load.
+	// Forming means that the group's VMs have been ordered to load the model.
 	Forming State = "forming"
-	// Serving is a group that has been whole since its birth.
+	// Serving means that all VMs of the group have been ready at the same time since its Birth generation.
 	Serving State = "serving"
-	// Draining is a group that takes no new requests and is broken up when the last one ends.
+	// Draining means that the group takes no new requests and is broken up after the last one ends.
 	Draining State = "draining"
 )
--- a/internal/replica/view.go
+++ b/internal/replica/view.go
@@ -6,19 +6,19 @@
 	"moorrun.dev/moorrun/internal/config"
 )
 
-// View is everything a plan for one fabric domain is made from.
+// View is the planner's input for one fabric domain.
 type View struct {
 	Now    time.Time
 	Domain config.Domain
 	Models map[string]config.ModelOf
 	VMs    map[string]VMView
 	Prices config.Prices
-	// Add lists the models that should get one more group here, the most deserving first.
+	// Add lists the models that should each get one more group in this domain, highest priority first.
 	Add []string
-	// Drop lists the ids of groups whose model has more than it may keep.
+	// Drop lists the ids of groups to drain because their model has more groups than it may keep.
 	Drop []string
-	// MayRoll reports whether that outdated group may be taken out for a new version now; nil: yes.
+	// MayRoll reports whether the outdated group g may be drained for a new version now; nil allows every group.
 	MayRoll func(g *Group) bool
-	// Loads is how many VM loads the weight store's rate allows now.
+	// Loads is the number of VMs that may start loading weights now under the weight store's rate limit.
 	Loads int
 }
--- a/internal/replica/wait_rule.go
+++ b/internal/replica/wait_rule.go
@@ -1,14 +1,14 @@
 package replica
 
-// WaitRule says how long a lost VM is waited for before a spare takes its place.
+// WaitRule selects how long to wait for a lost VM before a spare replaces it.
 type WaitRule uint8
 
 const (
-	// WaitLearned takes the limit that would have cost least over the pauses seen.
+	// WaitLearned uses the limit that would have caused the least downtime over the recorded pauses.
 	WaitLearned WaitRule = iota
-	// WaitAlways never replaces a VM, and spares hold nothing; a baseline.
+	// WaitAlways never replaces a lost VM and keeps no weights on spares. It is a baseline for comparison.
 	WaitAlways
-	// BreakAtOnce breaks a group up as soon as a VM is lost and forms it anew, with spares that hold nothing;
-	// a baseline.
+	// BreakAtOnce breaks up a group as soon as a VM is lost and forms a new one, and keeps no weights on spares.
+	// It is a baseline for comparison.
 	BreakAtOnce
 )
--- a/internal/replica/warm.go
+++ b/internal/replica/warm.go
@@ -1,23 +1,24 @@
 package replica
 
-// Warm is a free VM that holds a model's weights, to take a lost member's place without a reload.
+// Warm is a free VM that holds a model's weights, so that it can replace a lost VM of a group without a reload.
 type Warm struct {
 	VM      string `json:"vm"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// warmLoads is how many loads must be left over before one goes to a spare.
-const warmLoads = 4
+// minLoadsForSpare is the number of loads that must still be allowed for a load to be spent on a spare.
+const minLoadsForSpare = 4
 
-// warm gives free VMs a model to hold: the one with most groups for each spare that holds it.
-func (pl *planner) warm() {
-	free := pl.free()
+// assignSpares assigns to each free VM a model whose weights it should hold: the one with the most groups per
+// spare.
+func (pl *planner) assignSpares() {
+	free := pl.freeVMs()
 	kept := make([]Warm, 0, len(free))
 	spares := make(map[string]int)
 	var cold []string
 	for _, vm := range free {
-		w, ok := pl.warmOf(vm)
+		w, ok := pl.validSpare(vm)
 		if !ok {
 			cold = append(cold, vm)
 			continue
@@ -26,20 +27,20 @@
 		spares[w.Model]++
 	}
 	for _, vm := range cold {
-		model := pl.neediestOfSpares(spares)
-		if model == "" || pl.loads < warmLoads {
+		model := pl.modelMostShortOfSpares(spares)
+		if model == "" || pl.loads < minLoadsForSpare {
 			break
 		}
 		pl.loads--
 		spares[model]++
 		kept = append(kept, Warm{vm, model, pl.view.Models[model].Version})
-		pl.note("", "VM %s holds %s as a spare", vm, model)
+		pl.recordChange("", "VM %s holds %s as a spare", vm, model)
 	}
 	pl.next.Warm = kept
 }
 
-// warmOf returns what the free VM holds as a spare, if that is still worth holding.
-func (pl *planner) warmOf(vm string) (Warm, bool) {
+// validSpare returns the spare record of the free VM if its version is still the declared one.
+func (pl *planner) validSpare(vm string) (Warm, bool) {
 	for _, w := range pl.next.Warm {
 		if w.VM == vm && pl.view.Models[w.Model].Version == w.Version {
 			return w, true
@@ -48,7 +49,7 @@
 	return Warm{}, false
 }
 
-func (pl *planner) neediestOfSpares(spares map[string]int) string {
+func (pl *planner) modelMostShortOfSpares(spares map[string]int) string {
 	groups := make(map[string]int)
 	for _, g := range pl.next.Groups {
 		if _, declared := pl.view.Models[g.Model]; declared && g.State != Draining {
@@ -65,7 +66,7 @@
 	return best
 }
 
-// WarmOn returns what a VM holds as a spare.
+// WarmOn returns the spare record of vm and reports whether there is one.
 func (a *Assignment) WarmOn(vm string) (Warm, bool) {
 	for _, w := range a.Warm {
 		if w.VM == vm {
