--- a/internal/membership/orphans.go
+++ b/internal/membership/orphans.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// orphanAfter is how long a data centre must be without a live node before nodes of others take its part.
-const orphanAfter = 8 * time.Second
+// takeoverAfter is how long a data centre must be without a live node before nodes of other data centres act for it.
+const takeoverAfter = 8 * time.Second
 
-// Orphans knows the data centres that have lost all their nodes, and which nodes of the same region take their
-// part: their engine VMs may well be alive.
+// Orphans tracks the data centres without live nodes and selects nodes of the same region to act for them, because
+// the engine VMs of such a data centre may still be running.
 type Orphans struct {
 	members *Table
 	region  func(dataCentre string) string
 
-	mu    sync.Mutex
-	empty map[string]time.Time // data centre → since when no node of it is heard
+	mu         sync.Mutex
+	emptySince map[string]time.Time // data centre → time since which it has had no live node
 }
 
-// NewOrphans returns an Orphans; region gives a data centre's region.
+// NewOrphans returns an Orphans; region maps a data centre to its region.
 func NewOrphans(members *Table, region func(string) string) *Orphans {
-	return &Orphans{members: members, region: region, empty: make(map[string]time.Time)}
+	return &Orphans{members: members, region: region, emptySince: make(map[string]time.Time)}
 }
 
-// Guardians returns the nodes that act for a data centre, the first of them for its lease: its own live
-// nodes, or after a while without any the region's.
+// Guardians returns the nodes that act for a data centre: its own live nodes or, after takeoverAfter without any, all
+// live nodes of its region. Of nodes of other data centres, the first in rank competes for the data centre's lease.
 func (o *Orphans) Guardians(dataCentre string, now time.Time) []Member {
 	own := o.members.LiveIn(dataCentre, now)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(own) > 0 {
-		delete(o.empty, dataCentre)
+		delete(o.emptySince, dataCentre)
 		return own
 	}
-	since, known := o.empty[dataCentre]
+	since, known := o.emptySince[dataCentre]
 	if !known {
-		o.empty[dataCentre] = now
+		o.emptySince[dataCentre] = now
 		return nil
 	}
-	if now.Sub(since) < orphanAfter {
+	if now.Sub(since) < takeoverAfter {
 		return nil
 	}
-	var near []Member
+	var acting []Member
 	for _, m := range o.members.Live(now) {
 		if o.region(m.DataCentre) == o.region(dataCentre) {
-			near = append(near, m)
+			acting = append(acting, m)
 		}
 	}
-	return near
+	return acting
 }
--- a/internal/membership/rank.go
+++ b/internal/membership/rank.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders members by rendezvous hashing for a purpose: every node that knows the same members
-// gets the same order, and a member's coming or going moves nobody else.
+// Rank orders members by rendezvous hashing on purpose and VM. Nodes that know the same members compute the same order,
+// and adding or removing a member does not change the relative order of the others.
 func Rank(purpose string, members []Member) []Member {
 	type scored struct {
 		score  uint64
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,4 +1,4 @@
-// Package membership knows the moorrund processes and when each was last heard.
+// Package membership keeps the table of moorrund processes and when each was last heard from.
 package membership
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// LiveFor is how long a member counts as live after it was last heard.
+// LiveFor is how long a member counts as live after it was last heard from.
 const LiveFor = 5 * time.Second
 
-// forgetAfter is how long an unheard member is kept.
+// forgetAfter is how long a member is kept after it was last heard from.
 const forgetAfter = 10 * time.Minute
 
 // Table holds the members by VM, this process included.
@@ -19,24 +19,24 @@
 	self string
 
 	mu       sync.RWMutex
-	members  map[string]heldMember
+	members  map[string]memberRecord
 	sequence uint64
 }
 
-type heldMember struct {
+type memberRecord struct {
 	Member
-	sequence uint64 // of the last change other than Heard
+	sequence uint64 // table sequence at the last change to a field other than Heard
 }
 
-// NewTable returns a table that knows self only.
+// NewTable returns a table that contains only self, the record of this process.
 func NewTable(self Member) *Table {
-	t := &Table{self: self.VM, members: make(map[string]heldMember)}
+	t := &Table{self: self.VM, members: make(map[string]memberRecord)}
 	t.Put(self)
 	return t
 }
 
-// Put takes in what was heard of a member. Of one process the record with the latest change and the latest
-// hearing stand, whichever came first; of two processes of a VM the one heard last.
+// Put merges a received record into the table. For one process it keeps the record with the highest Change and the
+// latest Heard time, in whichever order they arrive. Of two processes of a VM it keeps the one heard from last.
 func (t *Table) Put(m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,13 +64,14 @@
 	t.members[m.VM] = held
 }
 
-// store replaces a member's record by one that the links must pass on.
+// store replaces a member's record and gives it a new sequence, so that Since returns it and the links pass it on.
 func (t *Table) store(m Member) {
 	t.sequence++
-	t.members[m.VM] = heldMember{m, t.sequence}
+	t.members[m.VM] = memberRecord{m, t.sequence}
 }
 
-// Heard notes a later hearing of a process that is known.
+// Heard records that a known process was alive at the given time, if that is later than the time held. It ignores this
+// process itself, unknown VMs and other incarnations.
 func (t *Table) Heard(vm, incarnation string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +91,7 @@
 	t.store(m)
 }
 
-// Self returns this process's own record, heard now.
+// Self returns this process's own record with Heard set to now.
 func (t *Table) Self(now time.Time) Member {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -99,7 +100,7 @@
 	return m
 }
 
-// Get returns the member of that VM.
+// Get returns the member on the given VM.
 func (t *Table) Get(vm string) (Member, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -107,12 +108,12 @@
 	return m.Member, ok
 }
 
-// Live returns the members heard lately, in order of VM, this process always among them.
+// Live returns the members heard from within LiveFor, ordered by VM. It always includes this process.
 func (t *Table) Live(now time.Time) []Member {
 	return t.list(now, LiveFor)
 }
 
-// All returns every member still remembered.
+// All returns the members heard from within forgetAfter, ordered by VM.
 func (t *Table) All(now time.Time) []Member { return t.list(now, forgetAfter) }
 
 func (t *Table) list(now time.Time, within time.Duration) []Member {
@@ -131,12 +132,12 @@
 	return out
 }
 
-// LiveIn returns the live members of one data centre.
+// LiveIn returns the live members of the given data centre.
 func (t *Table) LiveIn(dataCentre string, now time.Time) []Member {
 	return slices.DeleteFunc(t.Live(now), func(m Member) bool { return m.DataCentre != dataCentre })
 }
 
-// Since returns the members whose record changed after that sequence, and the newest sequence.
+// Since returns the members whose records changed after the given sequence, and the latest sequence.
 func (t *Table) Since(sequence uint64, now time.Time) ([]Member, uint64) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -153,7 +154,7 @@
 	return out, t.sequence
 }
 
-// Sweep forgets members that have not been heard for long.
+// Sweep removes members that were not heard from within forgetAfter.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -17,17 +17,17 @@
 	return t
 }
 
-func TestChangeIsTakenEvenWhenItsHearingIsOlder(t *testing.T) {
+func TestNewerChangeIsAppliedEvenIfItsHeardTimeIsOlder(t *testing.T) {
 	members := newTable()
-	members.Heard("a", "1", start.Add(time.Second)) // by another relay, which is quicker
+	members.Heard("a", "1", start.Add(time.Second)) // reported earlier through another, faster relay
 	members.Put(membership.Member{VM: "a", Incarnation: "1", Change: 2, Revision: 5, Draining: true, Heard: start.Add(time.Millisecond)})
 	m, _ := members.Get("a")
 	qt.Check(t, m.Revision, qt.Equals, int64(5))
 	qt.Check(t, m.Draining, qt.IsTrue)
-	qt.Check(t, m.Heard, qt.Equals, start.Add(time.Second), qt.Commentf("the later hearing stands"))
+	qt.Check(t, m.Heard, qt.Equals, start.Add(time.Second), qt.Commentf("the later Heard time must be kept"))
 }
 
-func TestLateCopyOfAnEarlierChangeIsIgnored(t *testing.T) {
+func TestOlderChangeReceivedLaterIsIgnored(t *testing.T) {
 	members := newTable()
 	members.Put(membership.Member{VM: "a", Incarnation: "1", Change: 3, Revision: 6, Heard: start})
 	members.Put(membership.Member{VM: "a", Incarnation: "1", Change: 2, Revision: 5, Draining: true, Heard: start.Add(time.Second)})
@@ -37,7 +37,7 @@
 	qt.Check(t, m.Heard, qt.Equals, start.Add(time.Second))
 }
 
-func TestHearingOfASuccessorDoesNotKeepTheDeadOneAlive(t *testing.T) {
+func TestHeardIgnoresOtherIncarnations(t *testing.T) {
 	members := newTable()
 	members.Heard("a", "2", start.Add(time.Minute))
 	m, _ := members.Get("a")
