--- a/internal/drains/book.go
+++ b/internal/drains/book.go
@@ -5,15 +5,15 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-// Book reads the drains from the mirror.
+// Book reads the list of drained VMs and endpoints from the mirror.
 type Book struct {
 	view *mirror.View[Drains]
 }
 
-// NewBook returns a Book over the mirror.
+// NewBook returns a Book that reads from m.
 func NewBook(m *mirror.Mirror) *Book { return &Book{mirror.NewView[Drains](m)} }
 
-// Read returns the drains now.
+// Read returns the list as currently mirrored, empty if the object is missing.
 func (b *Book) Read() Drains {
 	if d, _, ok := b.view.Get(keys.Drains); ok {
 		return *d
--- a/internal/drains/drains.go
+++ b/internal/drains/drains.go
@@ -1,12 +1,12 @@
-// Package drains keeps the list of VMs and endpoints that operators have taken out of use.
+// Package drains stores and reads the list of VMs and endpoints that operators have taken out of use.
 package drains
 
-// Drains is the object's value.
+// Drains is the value of the stored object that lists everything drained.
 type Drains struct {
 	Names map[string]Drain `json:"names"` // by name of the VM or endpoint
 }
 
-// Drain says who took something out.
+// Drain records who drained a VM or endpoint, and the id of the operation.
 type Drain struct {
 	By        string `json:"by"`
 	Operation string `json:"operation"`
--- a/internal/drains/set.go
+++ b/internal/drains/set.go
@@ -12,14 +12,15 @@
 	"moorrun.dev/moorrun/internal/keys"
 )
 
-// Error is the class of this package's errors.
+// Error is the error class of this package.
 var Error = errs.Class("drain")
 
-// Set takes name out of use, or back into use, and settles a lost answer by reading back until ctx ends.
+// Set drains the VM or endpoint with the given name, or ends its drain if drained is false. After a conflicting write or
+// an unavailable store, where the outcome may be unknown, it reads the list again and retries until ctx ends.
 func Set(ctx context.Context, objects infra.ObjectStore, name, by, operation string, drained bool) error {
 	for {
-		err := set(ctx, objects, name, by, operation, drained)
-		if err == nil || !errors.Is(err, infra.ErrUnavailable) && !errors.Is(err, errRace) {
+		err := setOnce(ctx, objects, name, by, operation, drained)
+		if err == nil || !errors.Is(err, infra.ErrUnavailable) && !errors.Is(err, errWriteConflict) {
 			return Error.Wrap(err)
 		}
 		select {
@@ -30,9 +31,9 @@
 	}
 }
 
-var errRace = errors.New("another operator wrote first")
+var errWriteConflict = errors.New("another operator wrote first")
 
-func set(ctx context.Context, objects infra.ObjectStore, name, by, operation string, drained bool) error {
+func setOnce(ctx context.Context, objects infra.ObjectStore, name, by, operation string, drained bool) error {
 	var d Drains
 	o, err := objects.Get(ctx, keys.Drains)
 	if err != nil && !errors.Is(err, infra.ErrNotFound) {
@@ -56,7 +57,7 @@
 	}
 	outcome, _, err := objects.Put(ctx, keys.Drains, d, o.Version)
 	if outcome == infra.NotApplied && err == nil {
-		return errRace
+		return errWriteConflict
 	}
 	return err
 }
