--- a/internal/inforce/keeper.go
+++ b/internal/inforce/keeper.go
@@ -1,5 +1,5 @@
-// Package inforce keeps the configuration in force at this node: the highest accepted revision it has
-// heard of and could fetch whole.
+// Package inforce maintains the configuration in force at this node: the highest accepted revision that the node has
+// learned of and could fetch completely.
 package inforce
 
 import (
@@ -20,36 +20,36 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-// Source fetches parts of the configuration from relays or from the platform.
+// Source fetches configuration parts from relays or from the platform.
 type Source interface {
-	// Fetch returns the objects of those keys that it could get.
+	// Fetch returns the objects with the given keys, without those that could not be fetched.
 	Fetch(ctx context.Context, keys []string) []infra.Object
 }
 
 // Keeper holds the configuration in force.
 type Keeper struct {
-	mirror  *mirror.Mirror
-	source  Source
-	checker *invariant.Checker
-	logger  log.Logger
-	inForce func(*config.Config)
+	mirror   *mirror.Mirror
+	source   Source
+	checker  *invariant.Checker
+	logger   log.Logger
+	onChange func(*config.Config)
 
 	current atomic.Pointer[config.Config]
 
-	mu    sync.RWMutex
-	parts map[string]infra.Object // by object key, those of the head in force
-	done  map[string]config.Part  // parsed, by object key
+	mu      sync.RWMutex
+	parts   map[string]infra.Object // by object key; parts of the head in force and of a newer head being fetched
+	decoded map[string]config.Part  // decoded parts, by object key
 }
 
-// NewKeeper returns a Keeper without configuration; inForce is called after each change.
-func NewKeeper(m *mirror.Mirror, source Source, checker *invariant.Checker, logger log.Logger, inForce func(*config.Config)) *Keeper {
+// NewKeeper returns a Keeper without a configuration; onChange is called with each configuration put in force.
+func NewKeeper(m *mirror.Mirror, source Source, checker *invariant.Checker, logger log.Logger, onChange func(*config.Config)) *Keeper {
 	return &Keeper{
-		mirror: m, source: source, checker: checker, logger: logger, inForce: inForce,
-		parts: make(map[string]infra.Object), done: make(map[string]config.Part),
+		mirror: m, source: source, checker: checker, logger: logger, onChange: onChange,
+		parts: make(map[string]infra.Object), decoded: make(map[string]config.Part),
 	}
 }
 
-// Current returns the configuration in force, nil before the first.
+// Current returns the configuration in force, or nil if there is none yet.
 func (k *Keeper) Current() *config.Config { return k.current.Load() }
 
 // Part implements peer.PartSource.
@@ -60,7 +60,7 @@
 	return o, ok
 }
 
-// Run puts each new head in force until ctx ends.
+// Run puts the configuration of each new head in force until ctx ends. It retries with backoff while parts are missing.
 func (k *Keeper) Run(ctx context.Context) error {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = 10 * time.Millisecond
@@ -82,7 +82,7 @@
 	}
 }
 
-// update puts the newest head in force and reports whether nothing is left to fetch.
+// update puts the configuration of the latest head in force and reports whether nothing remains to be fetched.
 func (k *Keeper) update(ctx context.Context) bool {
 	o, ok := k.mirror.Get(keys.Head)
 	if !ok {
@@ -90,7 +90,7 @@
 	}
 	head, err := accept.DecodeHead(o.Value)
 	if err != nil {
-		_ = level.Error(k.logger).Log("msg", "the head object cannot be read", "err", err)
+		_ = level.Error(k.logger).Log("msg", "cannot decode the configuration head, keeping the current configuration", "err", err)
 		return true
 	}
 	if now := k.Current(); now != nil && head.Revision <= now.Revision {
@@ -100,16 +100,17 @@
 	if !ok {
 		return false
 	}
-	k.swap(config.New(head.Revision, set), head)
+	k.activate(config.New(head.Revision, set), head)
 	return true
 }
 
-// assemble returns the head's parts, fetching those that are missing.
+// assemble returns the head's decoded parts, after fetching those that are missing. It reports false if a part is still
+// missing or cannot be decoded.
 func (k *Keeper) assemble(ctx context.Context, head *accept.Head) (config.Set, bool) {
-	k.fetch(ctx, head)
+	k.fetchMissing(ctx, head)
 	set := make(config.Set, len(head.Parts))
 	for name, ref := range head.Parts {
-		part, ok := k.parsed(name, ref)
+		part, ok := k.decodePart(name, ref)
 		if !ok {
 			return nil, false
 		}
@@ -118,7 +119,7 @@
 	return set, true
 }
 
-func (k *Keeper) fetch(ctx context.Context, head *accept.Head) {
+func (k *Keeper) fetchMissing(ctx context.Context, head *accept.Head) {
 	var missing []string
 	k.mu.RLock()
 	for _, ref := range head.Parts {
@@ -138,10 +139,10 @@
 	}
 }
 
-func (k *Keeper) parsed(name string, ref *accept.PartRef) (config.Part, bool) {
+func (k *Keeper) decodePart(name string, ref *accept.PartRef) (config.Part, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if p, ok := k.done[ref.Key]; ok {
+	if p, ok := k.decoded[ref.Key]; ok {
 		return p, true
 	}
 	o, ok := k.parts[ref.Key]
@@ -150,15 +151,15 @@
 	}
 	p, err := accept.DecodePart(name, ref, o.Value)
 	if err != nil {
-		_ = level.Error(k.logger).Log("msg", "a part was refused", "err", err)
+		_ = level.Error(k.logger).Log("msg", "cannot decode a configuration part, fetching it again", "err", err)
 		delete(k.parts, ref.Key)
 		return config.Part{}, false
 	}
-	k.done[ref.Key] = p
+	k.decoded[ref.Key] = p
 	return p, true
 }
 
-func (k *Keeper) swap(next *config.Config, head *accept.Head) {
+func (k *Keeper) activate(next *config.Config, head *accept.Head) {
 	old := k.Current()
 	k.checker.Hold(invariant.RevisionGrows, old == nil || next.Revision > old.Revision, func() []any {
 		return []any{"from", old.Revision, "to", next.Revision}
@@ -166,10 +167,10 @@
 	k.current.Store(next)
 	k.prune(head)
 	_ = level.Info(k.logger).Log("msg", "configuration in force", "revision", next.Revision)
-	k.inForce(next)
+	k.onChange(next)
 }
 
-// prune forgets the parts that the head in force does not point to.
+// prune removes the parts that the head in force does not reference.
 func (k *Keeper) prune(head *accept.Head) {
 	keep := make(map[string]bool, len(head.Parts))
 	for _, ref := range head.Parts {
@@ -180,7 +181,7 @@
 	for key := range k.parts {
 		if !keep[key] {
 			delete(k.parts, key)
-			delete(k.done, key)
+			delete(k.decoded, key)
 		}
 	}
 }
--- a/internal/inforce/keeper_test.go
+++ b/internal/inforce/keeper_test.go
@@ -13,11 +13,11 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-func TestPlantedReversionIsCaught(t *testing.T) {
+func TestActivatingAnOlderRevisionBreachesTheInvariant(t *testing.T) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	k := NewKeeper(mirror.New(), nil, checker, log.NewNopLogger(), func(*config.Config) {})
-	k.swap(config.New(7, nil), &accept.Head{Revision: 7})
+	k.activate(config.New(7, nil), &accept.Head{Revision: 7})
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(0))
-	k.swap(config.New(6, nil), &accept.Head{Revision: 6})
+	k.activate(config.New(6, nil), &accept.Head{Revision: 6})
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(1))
 }
