--- a/internal/eventlog/decisions.go
+++ b/internal/eventlog/decisions.go
@@ -10,61 +10,61 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits bound what is logged of requests.
+// Limits bound how many decisions on requests are logged.
 type Limits struct {
-	SampleOneIn int     // of the requests' ids; the same ids at every node
-	Failures    float64 // lines a second of remarkable requests that are not sampled
+	SampleOneIn int     // one of so many requests is sampled, by a hash of the ID: all nodes sample the same IDs
+	Failures    float64 // lines per second for notable requests that are not sampled
 }
 
-// DefaultLimits log all of one request in 20, and of the remarkable ones up to 20 lines a second.
+// DefaultLimits log one request in 20 in full, and up to 20 lines per second for other requests that are notable.
 var DefaultLimits = Limits{SampleOneIn: 20, Failures: 20}
 
-// storyBurst is how many seconds of the rate of lines may be used at once: when a replica group is lost, all requests
-// that it had end remarkably within a second.
-const storyBurst = 5
+// burstSeconds is the burst of the line rate limit, in seconds' worth of lines: when a replica group is lost, all of its requests
+// end as notable ones within a second.
+const burstSeconds = 5
 
-// Decisions logs the decisions on requests. A sampled request's lines are written as they come. Those of another one are
-// kept until it ends, and written then if it ended remarkably, up to a rate; what was left out is counted.
+// Decisions logs the decisions on requests. The lines of a sampled request are written immediately. Those of other requests are
+// buffered until the request ends, and written then, up to a rate, if the request is notable. Lines left out are counted.
 type Decisions struct {
 	logger  log.Logger
 	limits  Limits
 	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	leftOut int64
-	told    time.Time
+	mu           sync.Mutex
+	unlogged     int64
+	lastReported time.Time
 }
 
 // NewDecisions returns a Decisions that writes to logger.
 func NewDecisions(logger log.Logger, limits Limits) *Decisions {
-	burst := int(storyBurst*limits.Failures) + 1
+	burst := int(burstSeconds*limits.Failures) + 1
 	return &Decisions{logger: logger, limits: limits, limiter: rate.NewLimiter(rate.Limit(limits.Failures), burst)}
 }
 
-// Request begins the story of a request.
-func (d *Decisions) Request(id string) *Story {
+// Request returns the log of a request that begins now.
+func (d *Decisions) Request(id string) *RequestLog {
 	sampled := d.limits.SampleOneIn <= 1 || xxhash.Sum64String(id)%uint64(d.limits.SampleOneIn) == 0
-	return &Story{log: d, id: id, sampled: sampled, began: time.Now()}
+	return &RequestLog{log: d, id: id, sampled: sampled, start: time.Now()}
 }
 
-// write logs one line.
+// write logs one line, at level warn for failures and at level info otherwise.
 func (d *Decisions) write(l line) {
 	if l.failure {
-		_ = level.Warn(d.logger).Log(l.pairs...)
+		_ = level.Warn(d.logger).Log(l.keyvals...)
 		return
 	}
-	_ = level.Info(d.logger).Log(l.pairs...)
+	_ = level.Info(d.logger).Log(l.keyvals...)
 }
 
-// leave counts the lines of a remarkable request that are not logged, and tells the count once a second.
-func (d *Decisions) leave(lines int) {
+// countUnlogged counts lines of a notable request that are not logged. It logs the count at most once per second.
+func (d *Decisions) countUnlogged(lines int) {
 	d.mu.Lock()
-	d.leftOut += int64(lines)
-	n := d.leftOut
-	due := time.Since(d.told) > time.Second
+	d.unlogged += int64(lines)
+	n := d.unlogged
+	due := time.Since(d.lastReported) > time.Second
 	if due {
-		d.told = time.Now()
-		d.leftOut = 0
+		d.lastReported = time.Now()
+		d.unlogged = 0
 	}
 	d.mu.Unlock()
 	if due {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -13,37 +13,37 @@
 	"moorrun.dev/moorrun/internal/eventlog"
 )
 
-// stuck is a writer that does not take anything until it is freed.
-type stuck struct {
-	free chan bool
-	mu   sync.Mutex
-	got  bytes.Buffer
+// blockedWriter is a writer that blocks until unblock is closed.
+type blockedWriter struct {
+	unblock chan bool
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-func TestReaderThatDoesNotReadBlocksNobody(t *testing.T) {
-	out := &stuck{free: make(chan bool)}
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
+	out := &blockedWriter{unblock: make(chan bool)}
 	w := eventlog.NewWriter(out)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
-	for range 5000 { // five times what may wait
+	for range 5000 { // about five times maxQueued
 		n, err := w.Write(line)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, n, qt.Equals, len(line))
 	}
 	qt.Check(t, w.Dropped() > 0, qt.IsTrue)
-	close(out.free)
+	close(out.unblock)
 	qt.Assert(t, w.Close(), qt.IsNil)
-	lines := int64(strings.Count(out.got.String(), "\n"))
+	lines := int64(strings.Count(out.written.String(), "\n"))
 	qt.Check(t, lines+w.Dropped(), qt.Equals, int64(5000), qt.Commentf("every line is written or counted"))
 }
 
-func TestSampledRequestsAreLoggedWholeAndTheSameEverywhere(t *testing.T) {
+func TestSampleIsLoggedInFullAndIsTheSameOnAllNodes(t *testing.T) {
 	logged := func() map[string]int {
 		var out bytes.Buffer
 		d := eventlog.NewDecisions(log.NewLogfmtLogger(&out), eventlog.Limits{SampleOneIn: 10})
@@ -67,7 +67,7 @@
 	qt.Check(t, logged(), qt.DeepEquals, first)
 }
 
-func TestFailuresAreKeptUpToARateAndCountedBeyond(t *testing.T) {
+func TestFailuresAreRateLimitedAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	d := eventlog.NewDecisions(log.NewLogfmtLogger(&out), eventlog.Limits{SampleOneIn: 1 << 30, Failures: 5})
 	for i := range 1000 {
@@ -80,23 +80,23 @@
 	qt.Check(t, strings.Contains(out.String(), "request lines not logged"), qt.IsTrue)
 }
 
-func TestRemarkableRequestIsToldWhole(t *testing.T) {
+func TestNotableRequestIsLoggedInFull(t *testing.T) {
 	var out bytes.Buffer
 	d := eventlog.NewDecisions(log.NewLogfmtLogger(&out), eventlog.Limits{SampleOneIn: 1 << 30, Failures: 5})
-	for _, remarkable := range []bool{false, true} {
-		s := d.Request(fmt.Sprint("r-", remarkable))
+	for _, notable := range []bool{false, true} {
+		s := d.Request(fmt.Sprint("r-", notable))
 		s.Decision("sent", false, "send", 1)
 		s.Decision("failed", false)
 		s.Decision("sent", false, "send", 2)
 		s.Decision("answered", false)
-		s.End(remarkable)
+		s.End(notable)
 	}
 	qt.Check(t, strings.Count(out.String(), "request=r-true"), qt.Equals, 4)
 	qt.Check(t, strings.Contains(out.String(), "request=r-false"), qt.IsFalse)
 	qt.Check(t, strings.Index(out.String(), "send=1") < strings.Index(out.String(), "send=2"), qt.IsTrue)
 }
 
-func TestStoryWithoutAnEndIsBounded(t *testing.T) {
+func TestBufferedLinesAreBounded(t *testing.T) {
 	var out bytes.Buffer
 	d := eventlog.NewDecisions(log.NewLogfmtLogger(&out), eventlog.Limits{SampleOneIn: 1 << 30, Failures: 1000})
 	s := d.Request("r")
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -1,5 +1,5 @@
-// Package eventlog writes a process's log without ever blocking what is logged: lines wait in a bounded queue,
-// and what does not fit is counted.
+// Package eventlog writes the log of a process without ever blocking the code that logs: lines wait in a bounded queue, and
+// lines that do not fit are dropped and counted.
 package eventlog
 
 import (
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// maxQueued is how many bytes of lines may wait for the writer.
+// maxQueued bounds the queue of lines to be written, in bytes.
 const maxQueued = 1 << 20
 
 // Writer queues lines and writes them in the background.
@@ -23,7 +23,7 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out in the background.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, done: make(chan struct{})}
 	w.more = sync.NewCond(&w.mu)
@@ -31,7 +31,7 @@
 	return w
 }
 
-// Write implements io.Writer: it takes one line, or drops it when too much waits.
+// Write implements io.Writer: it queues one line, or drops it if the queue is full or the Writer is closed.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,14 +44,14 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines have been dropped.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Close writes what waits and stops.
+// Close writes the queued lines and stops the background writer.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	w.closed = true
