--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace finds in the logs of nodes what was decided about one request, and what the nodes came to
-// believe meanwhile of the endpoints and groups that it met.
+// Package trace extracts from the logs of nodes the decisions on one request, and the events about the endpoints and groups
+// that the request was sent to.
 package trace
 
 import (
@@ -11,19 +11,19 @@
 	"strings"
 )
 
-// maxLine is the longest line of a log that is read, in bytes.
+// maxLine is the longest log line that can be read, in bytes.
 const maxLine = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
-	VM     string         `json:"vm"`
-	Event  string         `json:"event"`
-	Own    bool           `json:"own"` // about the request itself
-	Fields map[string]any `json:"fields"`
-	at     string
+	VM        string         `json:"vm"`
+	Event     string         `json:"event"`
+	Own       bool           `json:"own"` // the line belongs to the request itself
+	Fields    map[string]any `json:"fields"`
+	timestamp string
 }
 
-// Read takes in the lines of a log. Lines that are no JSON objects are passed over.
+// Read parses the lines of a log. Lines that are not JSON objects are skipped.
 func Read(in io.Reader) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(in)
@@ -31,7 +31,7 @@
 	for scanner.Scan() {
 		text := scanner.Text()
 		if start := strings.IndexByte(text, '{'); start >= 0 {
-			text = text[start:] // some collectors write a time and a name before the line
+			text = text[start:] // some log collectors prefix each line with a time and a name
 		}
 		var fields map[string]any
 		if json.Unmarshal([]byte(text), &fields) != nil {
@@ -43,19 +43,19 @@
 }
 
 func newLine(fields map[string]any) Line {
-	take := func(name string) string {
+	pop := func(name string) string {
 		text, _ := fields[name].(string)
 		delete(fields, name)
 		return text
 	}
-	return Line{VM: take("vm"), Event: take("msg"), at: take("ts"), Fields: fields}
+	return Line{VM: pop("vm"), Event: pop("msg"), timestamp: pop("ts"), Fields: fields}
 }
 
-// Of returns the lines about the request, and those about the endpoints and groups that it was sent to, from
-// all nodes. Lines of one node stay in the order in which it wrote them; nodes are put side by side by the time
-// of day they tell, which may differ between nodes: ages in the lines are exact.
+// Of returns the lines of all nodes about the request with that ID, and those about the endpoints and groups that it was sent
+// to. Lines of one node stay in the order in which it wrote them. Lines of different nodes are merged by timestamp; their order
+// is approximate, because the clocks of nodes may differ. Ages in the lines are exact.
 func Of(id string, lines []Line) []Line {
-	met := make(map[string]bool)
+	related := make(map[string]bool)
 	var out []Line
 	for _, l := range lines {
 		if l.Fields["request"] != id {
@@ -63,34 +63,34 @@
 		}
 		for _, name := range []string{"endpoint", "group"} {
 			if value, _ := l.Fields[name].(string); value != "" {
-				met[value] = true
+				related[value] = true
 			}
 		}
 	}
 	for _, l := range lines {
 		l.Own = l.Fields["request"] == id
-		if l.Own || l.Fields["request"] == nil && l.about(met) {
+		if l.Own || l.Fields["request"] == nil && l.mentionsAny(related) {
 			out = append(out, l)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Line) int { return strings.Compare(a.at, b.at) })
+	slices.SortStableFunc(out, func(a, b Line) int { return strings.Compare(a.timestamp, b.timestamp) })
 	return out
 }
 
-// about reports whether the line names one of them.
-func (l *Line) about(met map[string]bool) bool {
+// mentionsAny reports whether the line's endpoint, group or head is in names.
+func (l *Line) mentionsAny(names map[string]bool) bool {
 	for _, name := range []string{"endpoint", "group", "head"} {
-		if value, _ := l.Fields[name].(string); met[value] {
+		if value, _ := l.Fields[name].(string); names[value] {
 			return true
 		}
 	}
 	return false
 }
 
-// Time returns the time of day that the node told.
-func (l *Line) Time() string { return l.at }
+// Time returns the timestamp that the node wrote.
+func (l *Line) Time() string { return l.timestamp }
 
-// Details returns the fields as name=value, in order of name, without the request's ID and the level.
+// Details returns the fields as name=value, sorted by name, without the request ID and the log level.
 func (l *Line) Details() string {
 	var out []string
 	for name, value := range l.Fields {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -18,7 +18,7 @@
 {"vm":"a","ts":"2","msg":"sent","request":"r2","endpoint":"e1","group":"g1"}
 `
 
-func TestStoryHasTheRequestAndWhatItMet(t *testing.T) {
+func TestTraceHasTheRequestAndItsEndpointsAndGroups(t *testing.T) {
 	lines, err := trace.Read(strings.NewReader(logs))
 	qt.Assert(t, err, qt.IsNil)
 	var events []string
@@ -27,8 +27,8 @@
 	}
 	qt.Check(t, events, qt.DeepEquals, []string{"order", "sent", "group retires", "refused"})
 	qt.Check(t, trace.Of("none", lines), qt.HasLen, 0)
-	story := trace.Of("r1", lines)
-	qt.Check(t, story[3].Own, qt.IsTrue)
-	qt.Check(t, story[2].Own, qt.IsFalse)
-	qt.Check(t, story[3].Details(), qt.Equals, "reason=timed-out")
+	requestLines := trace.Of("r1", lines)
+	qt.Check(t, requestLines[3].Own, qt.IsTrue)
+	qt.Check(t, requestLines[2].Own, qt.IsFalse)
+	qt.Check(t, requestLines[3].Details(), qt.Equals, "reason=timed-out")
 }
