--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,10 @@
-// Package clock tells the time on a steady clock that goes on while the machine is suspended.
+// Package clock provides a monotonic clock that continues while the machine is suspended.
 //
-// The runtime's monotonic clock stands still then. A process that wakes would take its lease for held, its copy of the
-// platform's store for current, and what others said before for fresh, each by as much as the suspension lasted. Ages and
-// ends that matter to others are therefore told by Now, Since and Until. Deadlines of the runtime, such as those of a
-// connection or of a context, count by the monotonic clock and take durations from here, never instants.
+// The monotonic clock of the Go runtime stops during a suspension. After resuming, a process would still consider its lease
+// held, its copy of the platform's store current and messages from others fresh, although all of them have aged by the duration
+// of the suspension. Ages and expiry times that matter to other processes are therefore computed by Now, Since and Until. Deadlines of the
+// runtime, such as those of a connection or context, follow the runtime's clock; compute them from durations of this package,
+// never from its instants.
 package clock
 
 import (
@@ -12,49 +13,49 @@
 	"time"
 )
 
-// least is the shortest suspension that is noticed. The two clocks of the system cannot be read at the same instant, and
-// suspensions last for seconds.
-const least = 20 * time.Millisecond
+// minSuspension is the shortest suspension that is detected. The two system clocks cannot be read at the same instant, so smaller
+// differences are noise; real suspensions last for seconds.
+const minSuspension = 20 * time.Millisecond
 
 var (
-	// suspended reads for how long the machine has been suspended since it was booted, and whether it could be read.
-	suspended atomic.Pointer[func() (time.Duration, bool)]
-	// first is what it read first, and latest the longest since.
-	first, latest atomic.Int64
+	// readSuspended returns how long the machine has been suspended since boot, and whether that could be read.
+	readSuspended atomic.Pointer[func() (time.Duration, bool)]
+	// firstSuspended is the first value of readSuspended and latestSuspended the largest one since, in nanoseconds.
+	firstSuspended, latestSuspended atomic.Int64
 )
 
 func init() {
 	read := systemSuspended
-	suspended.Store(&read)
+	readSuspended.Store(&read)
 	if d, ok := read(); ok {
-		first.Store(int64(d))
-		latest.Store(int64(d))
+		firstSuspended.Store(int64(d))
+		latestSuspended.Store(int64(d))
 	}
 }
 
-// offset returns for how long the machine has been suspended since the process began.
+// offset returns how long the machine has been suspended since the process started.
 func offset() time.Duration {
-	known := latest.Load()
-	if d, ok := (*suspended.Load())(); ok && d-time.Duration(known) >= least {
-		if latest.CompareAndSwap(known, int64(d)) {
+	known := latestSuspended.Load()
+	if d, ok := (*readSuspended.Load())(); ok && d-time.Duration(known) >= minSuspension {
+		if latestSuspended.CompareAndSwap(known, int64(d)) {
 			known = int64(d)
 		} else {
-			known = latest.Load()
+			known = latestSuspended.Load()
 		}
 	}
-	return time.Duration(known - first.Load())
+	return time.Duration(known - firstSuspended.Load())
 }
 
-// Now returns the present instant. Instants of this package are compared with each other only.
+// Now returns the current time. Compare it only with other times from this package.
 func Now() time.Time { return time.Now().Add(offset()) }
 
-// Since returns how long ago t was.
+// Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until t.
+// Until returns the time remaining until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// WithDeadline returns a context that ends at t, or later by as long as the machine is suspended meanwhile.
+// WithDeadline returns a context that ends at t, delayed by the duration of any suspension of the machine before that.
 func WithDeadline(ctx context.Context, t time.Time) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, Until(t))
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,14 +11,14 @@
 	"moorrun.dev/moorrun/internal/clock"
 )
 
-func TestClockGoesOnWhileTheMachineIsSuspended(t *testing.T) {
-	var asleep atomic.Int64
-	asleep.Store(int64(time.Hour)) // before the process began
-	defer clock.Pretend(func() time.Duration { return time.Duration(asleep.Load()) })()
+func TestClockContinuesDuringSuspension(t *testing.T) {
+	var suspended atomic.Int64
+	suspended.Store(int64(time.Hour)) // before the process started
+	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
 	began := clock.Now()
-	qt.Check(t, clock.Since(began) < time.Minute, qt.IsTrue, qt.Commentf("what was before does not count"))
+	qt.Check(t, clock.Since(began) < time.Minute, qt.IsTrue, qt.Commentf("suspensions before the process started do not count"))
 	end := began.Add(10 * time.Second)
-	asleep.Add(int64(7 * time.Second))
+	suspended.Add(int64(7 * time.Second))
 	qt.Check(t, clock.Since(began) >= 7*time.Second, qt.IsTrue)
 	left := clock.Until(end)
 	qt.Check(t, left > 0 && left <= 3*time.Second, qt.IsTrue, qt.Commentf("%s", left))
@@ -28,7 +28,7 @@
 	qt.Check(t, time.Until(deadline) <= 3*time.Second, qt.IsTrue)
 }
 
-func TestClockNeverGoesBack(t *testing.T) {
+func TestClockIsMonotonic(t *testing.T) {
 	last := clock.Now()
 	for range 100_000 {
 		now := clock.Now()
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -3,7 +3,8 @@
 /*
 #include <time.h>
 
-// suspended_ns returns CLOCK_BOOTTIME less CLOCK_MONOTONIC in nanoseconds, or -1 if the thread was held up between the two.
+// suspended_ns returns CLOCK_BOOTTIME less CLOCK_MONOTONIC in nanoseconds, or -1 on an error or if
+// reading the clocks took more than 1 ms, in which case the difference is unreliable.
 static long long suspended_ns(void) {
 	struct timespec before, boot, after;
 	if (clock_gettime(CLOCK_MONOTONIC, &before) || clock_gettime(CLOCK_BOOTTIME, &boot) || clock_gettime(CLOCK_MONOTONIC, &after)) {
@@ -22,12 +23,13 @@
 
 import "time"
 
-// tries is how often the clocks are read anew when the thread was held up between them.
-const tries = 3
+// maxReadAttempts bounds how often the clocks are read when the thread is delayed between the reads.
+const maxReadAttempts = 3
 
-// systemSuspended reads the clocks of the system. The C library's calls need no system call: reading costs some 0.1 µs.
+// systemSuspended returns how long the machine has been suspended since boot. The C library reads the clocks without a system
+// call, in about 0.1 µs.
 func systemSuspended() (time.Duration, bool) {
-	for range tries {
+	for range maxReadAttempts {
 		if ns := C.suspended_ns(); ns >= 0 {
 			return time.Duration(ns), true
 		}
