--- a/internal/loop/every.go
+++ b/internal/loop/every.go
@@ -1,4 +1,4 @@
-// Package loop repeats work until its context ends.
+// Package loop runs functions periodically until a context ends.
 package loop
 
 import (
@@ -8,13 +8,13 @@
 	"moorrun.dev/moorrun/internal/clock"
 )
 
-// Every calls step at once and then at each interval until ctx ends. A step that takes longer than the interval
-// delays the next; steps never run side by side.
+// Every calls step immediately and then once per interval until ctx ends. Calls never overlap: a step that takes longer than
+// the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, step func(now time.Time)) {
 	EveryOr(ctx, interval, nil, step)
 }
 
-// EveryOr is Every that also calls step whenever something arrives on wake.
+// EveryOr is like Every, but also calls step whenever a value arrives on wake.
 func EveryOr(ctx context.Context, interval time.Duration, wake <-chan struct{}, step func(now time.Time)) {
 	due := clock.Now()
 	for {
--- a/internal/loop/every_test.go
+++ b/internal/loop/every_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against the race detector's crash when many loops of one bubble are late at the same moment.
-func TestManyLoopsThatAreLateTogether(t *testing.T) {
+// Guards against a crash of the race detector's runtime when many loops of one synctest bubble are late at the same instant.
+func TestManyLoopsLateAtTheSameInstant(t *testing.T) {
 	const loops, steps = 500, 50
 	const interval = time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -33,15 +33,15 @@
 	})
 }
 
-func TestEveryKeepsToItsIntervals(t *testing.T) {
+func TestEveryKeepsIntervals(t *testing.T) {
 	const interval = time.Second
 	for _, test := range []struct {
 		about string
-		takes []time.Duration // of each step
-		want  []time.Duration // when each step begins
+		takes []time.Duration // duration of each step
+		want  []time.Duration // start of each step, relative to the start of the loop
 	}{
 		{"steps in time", []time.Duration{0, 500 * time.Millisecond, 0}, []time.Duration{0, interval, 2 * interval, 3 * interval}},
-		{"a late step delays the next only", []time.Duration{2500 * time.Millisecond, 0},
+		{"an overlong step delays only the next one", []time.Duration{2500 * time.Millisecond, 0},
 			[]time.Duration{0, 2500 * time.Millisecond, 3 * interval, 4 * interval}},
 	} {
 		t.Run(test.about, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestEveryOrStepsAtOnceWhenWoken(t *testing.T) {
+func TestEveryOrStepsImmediatelyOnWake(t *testing.T) {
 	const interval = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/internal/loop/sleep.go
+++ b/internal/loop/sleep.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Sleep waits that long, or until ctx ends.
+// Sleep waits for d or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) { SleepOr(ctx, d, nil) }
 
-// SleepOr waits that long, until something arrives on wake or it is closed, or until ctx ends. It reports whether it was
-// wake that ended the wait.
+// SleepOr waits for d, until a value arrives on wake or wake is closed, or until ctx ends. It reports whether wake ended the
+// wait.
 //
-// Loops wait here rather than on a timer of their own that may be overdue when they come back to it: the race detector's
-// runtime crashes when goroutines of one synctest bubble receive from overdue timers at the same moment.
+// Loops call this rather than keep a timer of their own, which may be overdue when they next wait for it: the race detector's
+// runtime crashes when goroutines of one synctest bubble receive from overdue timers at the same instant.
 func SleepOr(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	if d <= 0 {
 		return false
