--- a/internal/window/counter.go
+++ b/internal/window/counter.go
@@ -1,34 +1,34 @@
-// Package window counts events in a sliding window of time.
+// Package window counts events in a sliding time window.
 package window
 
 import "time"
 
-// slices divide a window; the oldest is dropped as a whole.
-const slices = 20
+// sliceCount is the number of slices of a window; events leave the window one slice at a time.
+const sliceCount = 20
 
-// Counter counts what happened within the last span of time.
+// Counter counts the events in a sliding window of fixed length.
 type Counter struct {
-	start  time.Time // slices count from then on the steady clock
-	length time.Duration
-	slice  int64
-	counts [slices]int
+	start       time.Time // start of slice 0, a time from package clock
+	sliceLength time.Duration
+	current     int64
+	counts      [sliceCount]int
 }
 
-// NewCounter returns a Counter of that span; no time before start will be asked for.
+// NewCounter returns a Counter whose window has length span. Times passed to its methods must not be before start.
 func NewCounter(span time.Duration, start time.Time) *Counter {
-	return &Counter{start: start, length: span / slices}
+	return &Counter{start: start, sliceLength: span / sliceCount}
 }
 
-// Covered returns how much of a span is certainly counted at any time.
-func Covered(span time.Duration) time.Duration { return span - span/slices }
+// Covered returns the part of a window of length span that is always counted; the oldest slice may already be dropped.
+func Covered(span time.Duration) time.Duration { return span - span/sliceCount }
 
 // Add counts one event.
 func (c *Counter) Add(now time.Time) {
 	c.advance(now)
-	c.counts[c.slice%slices]++
+	c.counts[c.current%sliceCount]++
 }
 
-// Sum returns how many events were counted in the window.
+// Sum returns the number of events in the window that ends at now.
 func (c *Counter) Sum(now time.Time) int {
 	c.advance(now)
 	sum := 0
@@ -38,11 +38,11 @@
 	return sum
 }
 
-// advance drops what has left the window.
+// advance drops the slices that have left the window.
 func (c *Counter) advance(now time.Time) {
-	slice := int64(now.Sub(c.start) / c.length)
-	for at := max(c.slice+1, slice-slices+1); at <= slice; at++ {
-		c.counts[at%slices] = 0
+	slice := int64(now.Sub(c.start) / c.sliceLength)
+	for i := max(c.current+1, slice-sliceCount+1); i <= slice; i++ {
+		c.counts[i%sliceCount] = 0
 	}
-	c.slice = max(c.slice, slice)
+	c.current = max(c.current, slice)
 }
--- a/internal/window/counter_test.go
+++ b/internal/window/counter_test.go
@@ -13,8 +13,8 @@
 
 const span = 2 * time.Second
 
-// The window holds all events of the part that is certainly covered and none that is older than the span.
-func TestSumIsOfTheWindow(t *testing.T) {
+// Sum includes all events within Covered(span) and none that is older than span.
+func TestSumCoversTheWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
 		c := window.NewCounter(span, start)
@@ -36,12 +36,12 @@
 			}
 		}
 		if sum := c.Sum(now); sum < least || sum > most {
-			t.Fatalf("%d events, between %d and %d happened in the window", sum, least, most)
+			t.Fatalf("sum is %d, want between %d and %d", sum, least, most)
 		}
 	})
 }
 
-func TestNothingIsLeftAfterALongPause(t *testing.T) {
+func TestWindowIsEmptyAfterALongPause(t *testing.T) {
 	c := window.NewCounter(span, time.Unix(1000, 0))
 	c.Add(time.Unix(1000, 0))
 	qt.Check(t, c.Sum(time.Unix(1001, 0)), qt.Equals, 1)
