--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -1,4 +1,4 @@
-// Package eventstream reads streams of server-sent events, whole events only.
+// Package eventstream reads streams of server-sent events and returns only complete events.
 package eventstream
 
 import (
@@ -7,66 +7,66 @@
 	"io"
 )
 
-// maxEvent is the longest event that is read, in bytes.
+// maxEvent is the longest event that can be read, in bytes.
 const maxEvent = 1 << 20
 
 const readSize = 4 << 10
 
-// ErrTorn is returned when a stream ends within an event.
-var ErrTorn = errors.New("the stream ends within an event")
+// ErrTruncated is returned when a stream ends within an event.
+var ErrTruncated = errors.New("the stream ends within an event")
 
 // errTooLong is returned for an event longer than maxEvent.
 var errTooLong = errors.New("an event is too long")
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
 	ID  string
-	Raw []byte // with the empty line that ends it; valid until the next call
+	Raw []byte // includes the empty line that ends the event; valid until the next call
 }
 
-// Reader takes events from a stream. Buffered returns what has come whole; Fill takes in more.
+// Reader splits a stream into events. Buffered returns events that have arrived completely; Fill reads more of the stream.
 type Reader struct {
 	in     io.Reader
 	buffer []byte
-	start  int // of what has not been returned
+	start  int // offset in buffer of the first byte not yet returned
 	ended  bool
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Buffered returns the next event if it has come whole. At the end of the stream the error is io.EOF, or ErrTorn
+// Buffered returns the next event if it has arrived completely. At the end of the stream the error is io.EOF, or ErrTruncated
 // if part of an event is left.
 func (r *Reader) Buffered() (e Event, ok bool, err error) {
 	rest := r.buffer[r.start:]
-	if end := endOf(rest); end > 0 {
+	if end := eventLength(rest); end > 0 {
 		r.start += end
 		raw := rest[:end]
-		return Event{ID: idOf(raw), Raw: raw}, true, nil
+		return Event{ID: eventID(raw), Raw: raw}, true, nil
 	}
 	switch {
 	case !r.ended:
 		return Event{}, false, nil
 	case len(bytes.TrimSpace(rest)) > 0:
-		return Event{}, false, ErrTorn
+		return Event{}, false, ErrTruncated
 	default:
 		return Event{}, false, io.EOF
 	}
 }
 
-// Fill reads more of the stream. It forgets the events returned before.
+// Fill reads more of the stream. It invalidates the events returned before.
 func (r *Reader) Fill() error {
 	r.buffer = append(r.buffer[:0], r.buffer[r.start:]...)
 	r.start = 0
 	if len(r.buffer) > maxEvent {
 		return errTooLong
 	}
-	held := len(r.buffer)
-	if cap(r.buffer)-held < readSize {
+	unread := len(r.buffer)
+	if cap(r.buffer)-unread < readSize {
 		r.buffer = append(make([]byte, 0, 2*cap(r.buffer)+readSize), r.buffer...)
 	}
-	n, err := r.in.Read(r.buffer[held:cap(r.buffer)])
-	r.buffer = r.buffer[:held+n]
+	n, err := r.in.Read(r.buffer[unread:cap(r.buffer)])
+	r.buffer = r.buffer[:unread+n]
 	if errors.Is(err, io.EOF) {
 		r.ended = true
 		return nil
@@ -74,8 +74,8 @@
 	return err
 }
 
-// endOf returns the length of the first whole event, 0 if there is none.
-func endOf(b []byte) int {
+// eventLength returns the length of the first complete event in b, or 0 if there is none.
+func eventLength(b []byte) int {
 	lf, crlf := bytes.Index(b, []byte("\n\n")), bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
 	case lf >= 0 && (crlf < 0 || lf < crlf):
@@ -87,8 +87,8 @@
 	}
 }
 
-// idOf returns the value of the event's id field.
-func idOf(raw []byte) string {
+// eventID returns the value of the event's id field, or "" if it has none.
+func eventID(raw []byte) string {
 	for line := range bytes.Lines(raw) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			return string(bytes.TrimSpace(value))
--- a/internal/eventstream/reader_test.go
+++ b/internal/eventstream/reader_test.go
@@ -12,8 +12,8 @@
 	"moorrun.dev/moorrun/internal/eventstream"
 )
 
-// all reads every event of in.
-func all(in io.Reader) (ids, raws []string, err error) {
+// readAll returns the IDs and bytes of all events in the stream.
+func readAll(in io.Reader) (ids, raws []string, err error) {
 	r := eventstream.NewReader(in)
 	for {
 		e, ok, err := r.Buffered()
@@ -32,28 +32,28 @@
 	}
 }
 
-func TestEventsComeWholeHoweverTheyAreCut(t *testing.T) {
+func TestEventsAreCompleteHoweverReadsAreSplit(t *testing.T) {
 	stream := "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\n"
 	for _, in := range []io.Reader{
 		strings.NewReader(stream), iotest.OneByteReader(strings.NewReader(stream)), iotest.DataErrReader(strings.NewReader(stream)),
 	} {
-		ids, raws, err := all(in)
+		ids, raws, err := readAll(in)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, ids, qt.DeepEquals, []string{"1", "2", ""})
 		qt.Check(t, strings.Join(raws, ""), qt.Equals, stream)
 	}
 }
 
-func TestTornEventIsNotPassedOn(t *testing.T) {
-	ids, _, err := all(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b"))
-	qt.Check(t, errors.Is(err, eventstream.ErrTorn), qt.IsTrue)
+func TestTruncatedEventIsNotReturned(t *testing.T) {
+	ids, _, err := readAll(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b"))
+	qt.Check(t, errors.Is(err, eventstream.ErrTruncated), qt.IsTrue)
 	qt.Check(t, ids, qt.DeepEquals, []string{"1"})
 }
 
-func TestResetIsNotAnEnd(t *testing.T) {
+func TestReadErrorIsNotEndOfStream(t *testing.T) {
 	reset := errors.New("reset")
 	in := io.MultiReader(strings.NewReader("id: 1\ndata: a\n\n"), iotest.ErrReader(reset))
-	ids, _, err := all(in)
+	ids, _, err := readAll(in)
 	qt.Check(t, errors.Is(err, reset), qt.IsTrue)
 	qt.Check(t, ids, qt.DeepEquals, []string{"1"})
 }
@@ -66,13 +66,13 @@
 		if n := len(stream); n > 0 {
 			at = (cut%n + n) % n
 		}
-		_, whole, errWhole := all(strings.NewReader(stream))
-		_, parts, errParts := all(io.MultiReader(strings.NewReader(stream[:at]), strings.NewReader(stream[at:])))
+		_, whole, errWhole := readAll(strings.NewReader(stream))
+		_, parts, errParts := readAll(io.MultiReader(strings.NewReader(stream[:at]), strings.NewReader(stream[at:])))
 		if joined := strings.Join(whole, ""); !strings.HasPrefix(stream, joined) {
-			t.Fatalf("events %q are no beginning of %q", joined, stream)
+			t.Fatalf("events %q are not a prefix of %q", joined, stream)
 		}
 		if strings.Join(whole, "|") != strings.Join(parts, "|") || (errWhole == nil) != (errParts == nil) {
-			t.Fatalf("%q and %q differ by how the stream is cut", whole, parts)
+			t.Fatalf("events differ with how the stream is split: %q and %q", whole, parts)
 		}
 	})
 }
