--- a/internal/loop/every_test.go
+++ b/internal/loop/every_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a crash of the race detector's runtime when many loops of one synctest bubble are late at the same instant.
-func TestManyLoopsLateAtTheSameInstant(t *testing.T) {
+func TestManyLoopsThatAreLateTogether(t *testing.T) {
 	const loops, steps = 500, 50
 	const interval = time.Second
 	synctest.Test(t, func(t *testing.T) {
