--- a/internal/httpcall/answer.go
+++ b/internal/httpcall/answer.go
@@ -8,34 +8,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// silentAfter is how long nothing has come on a kept connection for the others to its address to be dropped. Connections
-// may go silent for good without a reset, all at once; without this each of them would cost a request its whole wait.
-// A slow endpoint costs some new connections by it.
-const silentAfter = 300 * time.Millisecond
+// silentTimeout is how long a call on a reused connection may receive nothing; if it is closed after a longer wait, the other
+// idle connections to the address are closed as well. All connections to an address may go silent for good at once, without a reset; otherwise each of
+// them would cost a request its whole timeout. The price is some new connections to an endpoint that is merely slow.
+const silentTimeout = 300 * time.Millisecond
 
-// Answer is one HTTP answer and the connection it arrives on; it must be closed.
+// Answer is one HTTP response and the connection it arrives on. It must be closed.
 type Answer struct {
 	Response fasthttp.Response
 
-	client *Client
-	conn   *conn
-	ctx    context.Context //nolint:containedctx // of the call, to tell a cancelled wait from one that took too long
-	stop   func() bool
-	whole  bool
-	heard  bool // something of the answer has come
-	sent   time.Time
+	client          *Client
+	conn            *conn
+	ctx             context.Context //nolint:containedctx // of the call, to distinguish cancellation from a timeout
+	stopCancelWatch func() bool
+	complete        bool
+	received        bool // part of the response has arrived
+	sent            time.Time
 }
 
 // Read reads the streamed body and reports io.EOF only after all of it has arrived.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.Response.BodyStream().Read(p)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// SetReadTimeout bounds the wait for the next bytes of a streamed body. Once the call's context has ended, waits end at once.
+// SetReadTimeout bounds the wait for the next bytes of a streamed body. Once the call's context has ended, reads fail
+// immediately.
 func (a *Answer) SetReadTimeout(d time.Duration) error {
 	if err := a.conn.SetReadDeadline(time.Now().Add(d)); err != nil {
 		return err
@@ -46,57 +47,57 @@
 // Cancelled reports whether the call's context has ended.
 func (a *Answer) Cancelled() bool { return a.ctx.Err() != nil }
 
-// Await waits until bytes can be read, within the read timeout. Unlike Read it may be called again after a
-// timeout, because it takes nothing in.
+// Await waits until bytes can be read, within the read timeout. Unlike Read it may be called again after a timeout, because it
+// consumes nothing.
 func (a *Answer) Await() error {
 	_, err := a.conn.reader.Peek(1)
 	if err == io.EOF {
-		return nil // Read tells whether that is the end
+		return nil // Read reports whether this is the end of the body
 	}
-	a.heard = a.heard || err == nil
+	a.received = a.received || err == nil
 	return err
 }
 
-// Close gives the connection back when the answer was read whole, and closes it otherwise.
+// Close returns the connection to the client if the response was read completely, and closes it otherwise.
 func (a *Answer) Close() error {
 	if a.conn == nil {
 		return nil
 	}
 	c := a.conn
 	a.conn = nil
-	undisturbed := a.stop()
-	reusable := a.whole && undisturbed && !a.Response.ConnectionClose()
+	notCancelled := a.stopCancelWatch()
+	reusable := a.complete && notCancelled && !a.Response.ConnectionClose()
 	a.Response.Reset()
 	if reusable {
 		a.client.put(c)
 		return nil
 	}
-	if c.kept && !a.heard && time.Since(a.sent) >= silentAfter {
+	if c.reused && !a.received && time.Since(a.sent) >= silentTimeout {
 		a.client.drop(c.address)
 	}
 	return c.Close()
 }
 
-// watch closes the gap between a cancelled context and a blocked read or write.
-func (a *Answer) watch(ctx context.Context) {
+// watchCancel makes blocked reads and writes fail when ctx ends.
+func (a *Answer) watchCancel(ctx context.Context) {
 	c := a.conn
 	a.ctx = ctx
-	a.stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(longAgo) })
+	a.stopCancelWatch = context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastDeadline) })
 }
 
-// longAgo is a deadline that ends reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that makes reads and writes fail immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// endIfCancelled ends reads and writes at once if the call's context has ended. It follows each change of the deadline,
-// which may have come after that end and undone what watch has set.
+// endIfCancelled makes reads and writes fail immediately if the call's context has ended. It must be called after each change of
+// the deadline, which may have overwritten the deadline set by watchCancel.
 func (a *Answer) endIfCancelled() error {
 	if !a.Cancelled() {
 		return nil
 	}
-	return a.conn.SetDeadline(longAgo)
+	return a.conn.SetDeadline(pastDeadline)
 }
 
-// clearDeadline ends the bound on the sending, unless the call was cancelled meanwhile.
+// clearDeadline removes the deadline for sending, unless the call has been cancelled meanwhile.
 func (a *Answer) clearDeadline() {
 	_ = a.conn.SetDeadline(time.Time{})
 	_ = a.endIfCancelled()
--- a/internal/httpcall/cancel_test.go
+++ b/internal/httpcall/cancel_test.go
@@ -12,12 +12,12 @@
 	"moorrun.dev/moorrun/internal/httpcall"
 )
 
-// patience bounds waits that only a broken product makes long.
-const patience = 10 * time.Second
+// waitLimit bounds waits that are long only if the code under test is faulty.
+const waitLimit = 10 * time.Second
 
-// Seen: an endpoint worked on for as long as the route allows after its caller had left. The end of the call's context sets
-// the connection's deadline to the past; a wait that began just then set it to the future again.
-func TestWaitThatBeginsAfterTheCallWasCancelledEnds(t *testing.T) {
+// Guards against an endpoint that works on until the route's timeout after its caller has disconnected. The end of the call's
+// context sets the connection's deadline to the past; a wait that began at that moment set it to the future again.
+func TestAwaitEndsIfTheCallIsAlreadyCancelled(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer lis.Close() //nolint:errcheck // the test ends
@@ -28,23 +28,23 @@
 		}
 		defer c.Close()                //nolint:errcheck // the test ends
 		_, _ = c.Read(make([]byte, 1)) // it never answers
-		time.Sleep(2 * patience)
+		time.Sleep(2 * waitLimit)
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	var request fasthttp.Request
 	request.SetRequestURI("http://x/")
-	a, err := httpcall.NewClient().Start(ctx, lis.Addr().String(), &request, httpcall.Options{Timeout: patience})
+	a, err := httpcall.NewClient().Start(ctx, lis.Addr().String(), &request, httpcall.Options{Timeout: waitLimit})
 	qt.Assert(t, err, qt.IsNil)
 	defer a.Close() //nolint:errcheck // the test ends
 	cancel()
-	time.Sleep(50 * time.Millisecond) // the deadline is set to the past
+	time.Sleep(50 * time.Millisecond) // time for the deadline to be set to the past
 	qt.Assert(t, a.SetReadTimeout(time.Hour), qt.IsNil)
 	ended := make(chan error, 1)
 	go func() { ended <- a.Await() }()
 	select {
 	case err := <-ended:
 		qt.Check(t, httpcall.IsTimeout(err) && a.Cancelled(), qt.IsTrue)
-	case <-time.After(patience):
-		t.Error("the wait goes on")
+	case <-time.After(waitLimit):
+		t.Error("Await did not return after cancellation")
 	}
 }
--- a/internal/httpcall/client.go
+++ b/internal/httpcall/client.go
@@ -1,5 +1,5 @@
-// Package httpcall makes single HTTP calls to endpoints and tells for each failure whether
-// the request may have run. It never repeats a call on its own.
+// Package httpcall makes single HTTP calls to endpoints and reports for each failure whether the request may have run. It never
+// retries a call.
 package httpcall
 
 import (
@@ -20,22 +20,22 @@
 var Error = errs.Class("call")
 
 const (
-	maxIdle        = 4 * time.Second
-	maxIdlePerHost = 256
-	dialTimeout    = time.Second
+	maxIdleTime       = 4 * time.Second
+	maxIdlePerAddress = 256
+	dialTimeout       = time.Second
 )
 
 const shardCount = 16
 
-// Client keeps idle connections by address.
+// Client makes calls and pools idle connections by address.
 type Client struct {
-	// DialTimeout bounds the wait for a new connection; change it before the first call.
+	// DialTimeout bounds the dialing of a new connection. It must not change after the first call.
 	DialTimeout time.Duration
 
 	shards [shardCount]shard
 }
 
-// shard holds the idle connections of some addresses.
+// shard holds the idle connections to a subset of the addresses.
 type shard struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -54,8 +54,8 @@
 	return &c.shards[xxhash.Sum64String(address)%shardCount]
 }
 
-// Do sends request to address and reads the answer's header, and its body unless Options.Stream is set.
-// The error, when there is one, is a *verdict.Error.
+// Do sends request to address and reads the response's header, and its body unless Options.Stream is set. A non-nil error is a
+// *verdict.Error.
 func (c *Client) Do(ctx context.Context, address string, request *fasthttp.Request, o Options) (*Answer, error) {
 	deadline := time.Now().Add(o.Timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
@@ -75,8 +75,8 @@
 	return a, nil
 }
 
-// Start sends request to address and returns without waiting for an answer, which Await and Receive take in.
-// Options.Timeout bounds the sending; the error, when there is one, is a *verdict.Error.
+// Start sends request to address and returns without waiting for the response, for which Await and Receive are called later.
+// Options.Timeout bounds the sending. A non-nil error is a *verdict.Error.
 func (c *Client) Start(ctx context.Context, address string, request *fasthttp.Request, o Options) (*Answer, error) {
 	a, err := c.start(ctx, address, request, o.Fresh, time.Now().Add(o.Timeout))
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 	a := &Answer{client: c, conn: k, sent: time.Now()}
 	_ = k.SetDeadline(deadline)
-	a.watch(ctx)
+	a.watchCancel(ctx)
 	if err := a.send(request); err != nil {
 		_ = a.Close()
 		return nil, verdict.New(verdict.MayHaveRun, Error.Wrap(err))
@@ -108,8 +108,7 @@
 	return a.conn.writer.Flush()
 }
 
-// Receive reads the answer's header, and its body unless Options.Stream is set. The error, when there is one,
-// is a *verdict.Error.
+// Receive reads the response's header, and its body unless Options.Stream is set. A non-nil error is a *verdict.Error.
 func (a *Answer) Receive(o Options) error {
 	if err := a.receive(o); err != nil {
 		return verdict.New(verdict.MayHaveRun, Error.Wrap(err))
@@ -121,7 +120,7 @@
 	a.Response.StreamBody = o.Stream
 	if o.Stream {
 		err := a.Response.Read(a.conn.reader)
-		a.heard = a.heard || err == nil
+		a.received = a.received || err == nil
 		return err
 	}
 	limit := o.MaxBody
@@ -131,7 +130,7 @@
 	if err := a.Response.ReadLimitBody(a.conn.reader, limit); err != nil {
 		return err
 	}
-	a.whole, a.heard = true, true
+	a.complete, a.received = true, true
 	return nil
 }
 
@@ -182,11 +181,11 @@
 
 func (c *Client) put(k *conn) {
 	_ = k.SetDeadline(time.Time{})
-	k.idle, k.kept = time.Now(), true
+	k.idleSince, k.reused = time.Now(), true
 	s := c.shard(k.address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.idle[k.address]) >= maxIdlePerHost {
+	if len(s.idle[k.address]) >= maxIdlePerAddress {
 		_ = k.Close()
 		return
 	}
@@ -204,7 +203,7 @@
 	delete(s.idle, address)
 }
 
-// Sweep closes connections that have been idle too long; call it now and then.
+// Sweep closes connections that have been idle longer than maxIdleTime. It should be called periodically.
 func (c *Client) Sweep() {
 	now := time.Now()
 	for i := range c.shards {
@@ -218,7 +217,7 @@
 	for address, list := range s.idle {
 		kept := list[:0]
 		for _, k := range list {
-			if now.Sub(k.idle) > maxIdle {
+			if now.Sub(k.idleSince) > maxIdleTime {
 				_ = k.Close()
 				continue
 			}
@@ -232,7 +231,7 @@
 	}
 }
 
-// IsTimeout reports whether err is a passed deadline rather than a cut connection.
+// IsTimeout reports whether err is an exceeded deadline rather than a broken connection.
 func IsTimeout(err error) bool {
 	var n net.Error
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &n) && n.Timeout()
--- a/internal/httpcall/conn.go
+++ b/internal/httpcall/conn.go
@@ -10,11 +10,11 @@
 // conn is one connection to an endpoint with its buffers.
 type conn struct {
 	net.Conn
-	address string
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	idle    time.Time
-	kept    bool // it has brought an answer before
+	address   string
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	idleSince time.Time
+	reused    bool // it has carried a complete response before
 }
 
 func newConn(c net.Conn, address string) *conn {
@@ -23,7 +23,7 @@
 
 // usable reports whether the idle connection is still open with nothing unread on it.
 func (c *conn) usable(now time.Time) bool {
-	if now.Sub(c.idle) > maxIdle || c.reader.Buffered() > 0 {
+	if now.Sub(c.idleSince) > maxIdleTime || c.reader.Buffered() > 0 {
 		return false
 	}
 	sys, ok := c.Conn.(syscall.Conn)
--- a/internal/httpcall/retry_after_test.go
+++ b/internal/httpcall/retry_after_test.go
@@ -8,9 +8,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestRetryAfterOfARefusal(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for value, want := range map[string]time.Duration{
-		"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, "-1": 0, "NaN": 0, "Inf": mostRetryAfter, "1e300": mostRetryAfter, "soon": 0, "Thu, 03 Dec 2026 10:00:00 GMT": 0,
+		"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, "-1": 0, "NaN": 0, "Inf": maxRetryAfter, "1e300": maxRetryAfter, "soon": 0, "Thu, 03 Dec 2026 10:00:00 GMT": 0,
 	} {
 		var h fasthttp.ResponseHeader
 		if value != "" {
--- a/internal/httpcall/silent_test.go
+++ b/internal/httpcall/silent_test.go
@@ -16,7 +16,7 @@
 	"moorrun.dev/moorrun/internal/standin/silence"
 )
 
-func TestOneSilentConnectionDropsTheOthersToItsAddress(t *testing.T) {
+func TestSilentConnectionClosesOthersToItsAddress(t *testing.T) {
 	const kept = 5
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -25,7 +25,7 @@
 	together.Add(kept)
 	first := true
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		if first { // so that each needs a connection of its own
+		if first { // all calls overlap, so that each needs a connection of its own
 			together.Done()
 			together.Wait()
 		}
