--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -12,78 +12,80 @@
 )
 
 const (
-	defaultDeadline = 60 * time.Second
-	maxDeadline     = 10 * time.Minute
-	bearer          = "Bearer "
+	defaultTimeout  = 60 * time.Second
+	maxTimeout      = 10 * time.Minute
+	bearerPrefix    = "Bearer "
 	defaultPriority = 5
 	maxPriority     = 9
 )
 
-// call is one caller's request while this node works on it.
+// call is one caller's request in progress on this node.
 type call struct {
 	ctx       *fasthttp.RequestCtx
 	config    *config.Config
 	workspace string
-	id        string // request id, from end to end
-	priority  int    // among its workspace's requests
+	id        string // request ID, the same from the caller to the engine
+	priority  int    // 0 to maxPriority, highest first; orders the requests of one workspace
 	deadline  time.Time
 	started   time.Time
 }
 
-// open checks what every request must have.
-func (s *Server) open(ctx *fasthttp.RequestCtx, id string) (*call, *failure) {
-	if what := unsafeHeaders(&ctx.Request.Header); what != "" {
-		return nil, notRun(fasthttp.StatusBadRequest, what)
+// prepareCall checks the headers and the credential that every request needs and returns the call.
+func (s *Server) prepareCall(ctx *fasthttp.RequestCtx, id string) (*call, *failure) {
+	if reason := headerAmbiguity(&ctx.Request.Header); reason != "" {
+		return nil, notRun(fasthttp.StatusBadRequest, reason)
 	}
 	current := s.Current()
-	if f := s.accepting(current); f != nil {
+	if f := s.checkReady(current); f != nil {
 		return nil, f
 	}
 	header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
-	if len(header) <= len(bearer) || header[:len(bearer)] != bearer {
+	if len(header) <= len(bearerPrefix) || header[:len(bearerPrefix)] != bearerPrefix {
 		return nil, notRun(fasthttp.StatusUnauthorized, "give a caller's credential as Authorization: Bearer TOKEN")
 	}
-	workspace, ok := current.CallerWorkspace(header[len(bearer):])
+	workspace, ok := current.CallerWorkspace(header[len(bearerPrefix):])
 	if !ok {
 		return nil, notRun(fasthttp.StatusUnauthorized, "the credential is not known")
 	}
 	now := clock.Now()
-	patience, f := patienceOf(ctx)
+	timeout, f := parseTimeout(ctx)
 	if f != nil {
 		return nil, f
 	}
-	priority, f := priorityOf(ctx)
+	priority, f := parsePriority(ctx)
 	if f != nil {
 		return nil, f
 	}
-	return &call{ctx, current, workspace, id, priority, now.Add(patience), now}, nil
+	return &call{ctx, current, workspace, id, priority, now.Add(timeout), now}, nil
 }
 
-// accepting refuses new work while this node cannot know what is in force.
-func (s *Server) accepting(current *config.Config) *failure {
+// checkReady refuses new requests while this node has no configuration, or when its last contact with the
+// platform or another node is more than maxContactAge ago and its configuration may be out of date.
+func (s *Server) checkReady(current *config.Config) *failure {
 	if current == nil {
-		return notRunYet("no configuration is in force at this address", time.Second)
+		return unavailable("no configuration is in force at this address", time.Second)
 	}
-	if clock.Since(s.Contact.Last()) > contactLimit {
-		return notRunYet("this address hears neither the platform nor another node; use another one", time.Second)
+	if clock.Since(s.Contact.Last()) > maxContactAge {
+		return unavailable("this address hears neither the platform nor another node; use another one", time.Second)
 	}
 	return nil
 }
 
-func patienceOf(ctx *fasthttp.RequestCtx) (time.Duration, *failure) {
+func parseTimeout(ctx *fasthttp.RequestCtx) (time.Duration, *failure) {
 	text := ctx.Request.Header.Peek(deadlineHeader)
 	if len(text) == 0 {
-		return defaultDeadline, nil
+		return defaultTimeout, nil
 	}
 	ms, err := strconv.Atoi(string(text))
-	if err != nil || ms <= 0 || time.Duration(ms)*time.Millisecond > maxDeadline {
+	if err != nil || ms <= 0 || time.Duration(ms)*time.Millisecond > maxTimeout {
 		return 0, notRun(fasthttp.StatusBadRequest, deadlineHeader+" must be a number of milliseconds between 1 and 600000")
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// priorityOf reads the caller's priority among its workspace's requests; it travels on to the engine.
-func priorityOf(ctx *fasthttp.RequestCtx) (int, *failure) {
+// parsePriority reads the priority of the request among those of its workspace. The header is also forwarded
+// to the engine.
+func parsePriority(ctx *fasthttp.RequestCtx) (int, *failure) {
 	text := ctx.Request.Header.Peek(priorityHeader)
 	if len(text) == 0 {
 		return defaultPriority, nil
@@ -95,14 +97,15 @@
 	return priority, nil
 }
 
-// left is how long the call may still take.
-func (c *call) left() time.Duration { return clock.Until(c.deadline) }
+// remaining returns the time until the call's deadline.
+func (c *call) remaining() time.Duration { return clock.Until(c.deadline) }
 
-// requestID returns the caller's id if it is a plain one, or a new one.
+// requestID returns the caller's request ID if it has at most 128 characters, all of them letters, digits, '-',
+// '_' or '.'; otherwise it returns a new UUID.
 func requestID(ctx *fasthttp.RequestCtx) string {
-	const longest = 128
+	const maxLength = 128
 	given := ctx.Request.Header.Peek(requestIDHeader)
-	if len(given) == 0 || len(given) > longest {
+	if len(given) == 0 || len(given) > maxLength {
 		return uuid.NewString()
 	}
 	for _, b := range given {
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -21,14 +21,15 @@
 
 const enginePath = "/engine/completions"
 
-// completionRequest is what moorrun reads of a completion; the engine gets the body as it came.
+// completionRequest holds the fields of a completion request that moorrun reads. The engine receives the body
+// unchanged.
 type completionRequest struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
 	Stream bool   `json:"stream"`
 }
 
-// attempt is one try of a completion on one replica group.
+// attempt is one attempt to run a completion on one replica group.
 type attempt struct {
 	call   *call
 	place  *admission.Place
@@ -36,8 +37,8 @@
 	sentAt time.Time
 }
 
-// complete serves /v1/completions.
-func (s *Server) complete(c *call) *failure {
+// serveCompletion handles /v1/completions.
+func (s *Server) serveCompletion(c *call) *failure {
 	if !c.ctx.IsPost() {
 		return notRun(fasthttp.StatusMethodNotAllowed, "use POST")
 	}
@@ -49,9 +50,9 @@
 	if !ok {
 		return notRun(fasthttp.StatusNotFound, "this workspace has no model "+strconv.Quote(r.Model))
 	}
-	s.meters.requests.Inc(1)
-	s.budget.request()
-	f := s.attempts(c, model, r)
+	s.metrics.requests.Inc(1)
+	s.budget.recordRequest()
+	f := s.completeWithRetries(c, model, r)
 	if f != nil {
 		s.countFailure(c, r.Model, f)
 	}
@@ -60,22 +61,23 @@
 
 func (s *Server) countFailure(c *call, service string, f *failure) {
 	if f.verdict == verdict.NotRun {
-		s.meters.refusals.Inc(1)
+		s.metrics.refusals.Inc(1)
 	} else {
-		s.meters.failures.Inc(1)
+		s.metrics.failures.Inc(1)
 	}
 	s.Burn.Record(c.workspace, service, burn.Outcome{Failed: true, Latency: clock.Since(c.started)})
 }
 
-// attempts tries the completion on one group after the other, as far as the budget and deadline go.
-// Generating the same completion again harms nobody, so it is repeatable until its answer has begun.
-func (s *Server) attempts(c *call, model config.ModelOf, r completionRequest) *failure {
+// completeWithRetries sends the completion to one replica group after another until one answers, the
+// deadline passes or the retry budget is used up. Generating the same completion twice is harmless, so it can
+// be retried until its answer has begun.
+func (s *Server) completeWithRetries(c *call, model config.ModelOf, r completionRequest) *failure {
 	avoid := ""
 	for {
-		if left := s.Router.PauseLeft(model.Name, clock.Now()); left > c.left() {
-			return notRunYet("each replica group of the model has asked for a pause", left)
+		if left := s.Router.PauseLeft(model.Name, clock.Now()); left > c.remaining() {
+			return unavailable("each replica group of the model has asked for a pause", left)
 		}
-		a, f := s.place(c, admission.Request{
+		a, f := s.acquirePlace(c, admission.Request{
 			Model: model.Name, Workspace: c.workspace, Avoid: avoid, Priority: c.priority, Prefer: s.Router.Preferred(model.Name, r.Prompt, clock.Now()), PreferWait: routing.PreferWait(len(r.Prompt)),
 		})
 		if f != nil {
@@ -83,23 +85,24 @@
 		}
 		answer, err := s.send(a)
 		if err == nil {
-			return s.pass(a, answer, r.Stream)
+			return s.relayAnswer(a, answer, r.Stream)
 		}
-		s.failed(a, err)
+		s.recordFailure(a, err)
 		a.place.Release(false)
 		avoid = a.target.Group
-		if c.left() <= 0 {
+		if c.remaining() <= 0 {
 			return &failure{fasthttp.StatusGatewayTimeout, verdict.Of(err), "the deadline passed: " + err.Error(), time.Second}
 		}
-		if !s.budget.take() {
+		if !s.budget.tryTake() {
 			return &failure{fasthttp.StatusBadGateway, verdict.Of(err), "the replica group failed: " + err.Error(), time.Second}
 		}
-		s.meters.retries.Inc(1)
+		s.metrics.retries.Inc(1)
 	}
 }
 
-// failed notes that a group did not answer the request. One that sends Retry-After has not failed.
-func (s *Server) failed(a *attempt, err error) {
+// recordFailure records that a group did not answer the request. A refusal with Retry-After is recorded as a
+// requested pause, not as a failure.
+func (s *Server) recordFailure(a *attempt, err error) {
 	var refusal *refusalError
 	if errors.As(err, &refusal) && refusal.retryAfter > 0 {
 		s.Router.AskedToPause(a.target.Group, a.target.Birth, refusal.retryAfter)
@@ -108,43 +111,43 @@
 	s.Router.Failed(a.target.Group, a.target.Birth)
 }
 
-// refusalError is an engine's answer that it will not run the request.
+// refusalError reports that an engine answered that it will not run the request.
 type refusalError struct {
 	status     int
-	retryAfter time.Duration // of Retry-After; zero if there is none
+	retryAfter time.Duration // value of Retry-After; zero if the header is absent
 }
 
 func (e *refusalError) Error() string {
 	return "the engine refused the request: status " + strconv.Itoa(e.status)
 }
 
-// place waits for a place on a usable group.
-func (s *Server) place(c *call, r admission.Request) (*attempt, *failure) {
+// acquirePlace waits for a place (the right to run one request) on a usable replica group.
+func (s *Server) acquirePlace(c *call, r admission.Request) (*attempt, *failure) {
 	since := clock.Now()
 	for {
-		r.Patience = c.left()
+		r.Patience = c.remaining()
 		place, err := s.Admission.Acquire(context.Background(), r)
 		if err != nil {
-			return nil, refused(err)
+			return nil, admissionFailure(err)
 		}
 		target, ok := s.Router.Target(place.Group, place.Birth, clock.Now())
 		if ok {
-			s.meters.waited(since)
+			s.metrics.recordPlaceWait(since)
 			return &attempt{call: c, place: place, target: target}, nil
 		}
-		place.Release(false) // the group went out of use between
+		place.Release(false) // the group became unusable after the place was granted
 	}
 }
 
-func refused(err error) *failure {
+func admissionFailure(err error) *failure {
 	var r *admission.Refusal
 	if errors.As(err, &r) {
 		return &failure{fasthttp.StatusTooManyRequests, verdict.NotRun, r.Error(), max(r.RetryAfter, time.Millisecond)}
 	}
-	return notRunYet("the node is stopping", time.Second)
+	return unavailable("the node is stopping", time.Second)
 }
 
-// send sends the completion to the group's leader and returns the answer's header.
+// send sends the completion to the group's leader and returns once the header of the answer has arrived.
 func (s *Server) send(a *attempt) (*httpcall.Answer, error) {
 	c := a.call
 	request := fasthttp.AcquireRequest()
@@ -156,7 +159,7 @@
 	request.Header.Set(requestIDHeader, c.id)
 	request.Header.Set(groupHeader, a.target.Group)
 	request.Header.Set(birthHeader, strconv.FormatInt(a.target.Birth, 10))
-	request.Header.Set(deadlineHeader, strconv.FormatInt(max(1, c.left().Milliseconds()), 10))
+	request.Header.Set(deadlineHeader, strconv.FormatInt(max(1, c.remaining().Milliseconds()), 10))
 	request.SetBodyRaw(c.ctx.PostBody())
 	a.sentAt = clock.Now()
 	until := s.Router.WholeUntil(a.target)
@@ -165,7 +168,7 @@
 	}) {
 		return nil, verdict.New(verdict.NotRun, errors.New("the group is no longer whole"))
 	}
-	answer, err := s.Calls.Do(context.WithoutCancel(c.ctx), a.target.Leader, request, httpcall.Options{Timeout: c.left(), Stream: true})
+	answer, err := s.Calls.Do(context.WithoutCancel(c.ctx), a.target.Leader, request, httpcall.Options{Timeout: c.remaining(), Stream: true})
 	if err != nil {
 		return nil, err
 	}
@@ -176,10 +179,11 @@
 	return answer, nil
 }
 
-// checkAnswer refuses an answer that is another request's, and turns an engine's refusal into an error.
+// checkAnswer returns an error if the answer carries the ID of another request, or if the engine refused or
+// failed the request.
 func (s *Server) checkAnswer(c *call, answer *httpcall.Answer) error {
 	if id := string(answer.Response.Header.Peek(requestIDHeader)); id != c.id {
-		s.meters.crossed.Inc(1)
+		s.metrics.crossedAnswers.Inc(1)
 		return verdict.New(verdict.MayHaveRun, errors.New("the engine answered another request"))
 	}
 	switch status := answer.Response.StatusCode(); {
@@ -192,18 +196,19 @@
 	}
 }
 
-// checkOwn holds that an answer about to be passed on names the call it goes to.
-func (s *Server) checkOwn(c *call, id []byte) {
+// checkAnswerID checks the invariant that an answer about to be relayed carries no request ID or that of its
+// call.
+func (s *Server) checkAnswerID(c *call, id []byte) {
 	s.Checker.Hold(invariant.OwnAnswer, len(id) == 0 || string(id) == c.id, func() []any {
 		return []any{"request_id", c.id, "answer_id", string(id)}
 	})
 }
 
-// pass hands the answer to the caller.
-func (s *Server) pass(a *attempt, answer *httpcall.Answer, stream bool) *failure {
+// relayAnswer copies the header of the answer to the caller's response and streams its body.
+func (s *Server) relayAnswer(a *attempt, answer *httpcall.Answer, stream bool) *failure {
 	response := &a.call.ctx.Response
 	copyResponseHeaders(&response.Header, &answer.Response.Header)
-	s.checkOwn(a.call, response.Header.Peek(requestIDHeader))
+	s.checkAnswerID(a.call, response.Header.Peek(requestIDHeader))
 	response.SetStatusCode(answer.Response.StatusCode())
 	response.Header.Set(verdict.Header, verdict.Ran.String())
 	body := newStreamBody(s, a, answer)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -11,9 +11,10 @@
 	"moorrun.dev/moorrun/internal/verdict"
 )
 
-// doubt corrects a refusal that says "not run" of a keyed request: an earlier send of it may have run, and
+// correctVerdict changes the verdict "not run" for a request with an idempotency key to "may have run", unless
+// this process is the key's home and has no record of the key. An earlier send of the request may have run, and
 // only the key's home knows.
-func (s *Server) doubt(ctx *fasthttp.RequestCtx, f *failure) {
+func (s *Server) correctVerdict(ctx *fasthttp.RequestCtx, f *failure) {
 	text := ctx.Request.Header.Peek(keyHeader)
 	if f.verdict != verdict.NotRun || len(text) == 0 {
 		return
@@ -26,15 +27,15 @@
 	}
 }
 
-// forward sends a keyed request to the key's home. When the home is gone or does not answer, nobody
-// knows whether the request ran.
+// forward sends a request with an idempotency key to the key's home, the process that issued the key. If the
+// home is gone or does not answer, it is unknown whether the request ran.
 func (s *Server) forward(p *plainCall, key once.Key) *failure {
 	if len(p.ctx.Request.Header.Peek(forwardedHeader)) > 0 {
-		return homeLost("the key's home is not this address")
+		return outcomeUnknown("the key's home is not this address")
 	}
 	home, ok := s.Members.Get(key.VM)
 	if !ok || home.Incarnation != key.Incarnation {
-		return homeLost("the key's home is gone")
+		return outcomeUnknown("the key's home is gone")
 	}
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -43,11 +44,11 @@
 	request.Header.Set(forwardedHeader, s.Members.Self(p.started).VM)
 	request.Header.Set(requestIDHeader, p.id)
 	answer, err := s.Calls.Do(context.WithoutCancel(p.ctx), home.CallerAddress, request,
-		httpcall.Options{Timeout: p.left(), Fresh: true, MaxBody: maxPlainBody})
+		httpcall.Options{Timeout: p.remaining(), Fresh: true, MaxBody: maxPlainAnswerBytes})
 	if err != nil {
-		return homeLost("the key's home does not answer")
+		return outcomeUnknown("the key's home does not answer")
 	}
-	defer answer.Close() //nolint:errcheck // the answer is read whole
+	defer answer.Close() //nolint:errcheck // the answer has been read completely
 	response := &p.ctx.Response
 	copyResponseHeaders(&response.Header, &answer.Response.Header)
 	response.SetStatusCode(answer.Response.StatusCode())
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Headers that moorrun gives or reads.
+// Headers that moorrun sets or reads.
 const (
 	requestIDHeader = "X-Request-Id"
 	groupHeader     = "X-Moorrun-Group"
@@ -19,45 +19,45 @@
 	resumeHeader    = "X-Moorrun-Resume"
 )
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = map[string]bool{
+// hopByHopHeaders are the headers that apply to a single connection and are never forwarded.
+var hopByHopHeaders = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-authenticate": true, "proxy-authorization": true,
 	"proxy-connection": true, "te": true, "trailer": true, "transfer-encoding": true, "upgrade": true,
 }
 
-// own are the headers that callers may not set towards endpoints.
-var own = map[string]bool{
+// reservedHeaders are the request headers that are not forwarded from callers to endpoints.
+var reservedHeaders = map[string]bool{
 	"authorization": true, "host": true, "content-length": true, "expect": true,
 	strings.ToLower(groupHeader): true, strings.ToLower(birthHeader): true,
 	strings.ToLower(forwardedHeader): true, strings.ToLower(requestIDHeader): true,
 }
 
-// copyRequestHeaders copies what endpoints may see of a caller's headers.
+// copyRequestHeaders copies those of a caller's headers that endpoints may receive.
 func copyRequestHeaders(to *fasthttp.RequestHeader, from *fasthttp.RequestHeader) {
-	dropped := named(from.Peek("Connection"))
+	dropped := connectionHeaders(from.Peek("Connection"))
 	for key, value := range from.All() {
 		name := strings.ToLower(string(key))
-		if hopByHop[name] || own[name] || dropped[name] {
+		if hopByHopHeaders[name] || reservedHeaders[name] || dropped[name] {
 			continue
 		}
 		to.AddBytesKV(key, value)
 	}
 }
 
-// copyResponseHeaders copies an endpoint's headers to the caller's answer.
+// copyResponseHeaders copies an endpoint's headers to the answer for the caller.
 func copyResponseHeaders(to *fasthttp.ResponseHeader, from *fasthttp.ResponseHeader) {
-	dropped := named(from.Peek("Connection"))
+	dropped := connectionHeaders(from.Peek("Connection"))
 	for key, value := range from.All() {
 		name := strings.ToLower(string(key))
-		if hopByHop[name] || dropped[name] || name == "content-length" {
+		if hopByHopHeaders[name] || dropped[name] || name == "content-length" {
 			continue
 		}
 		to.AddBytesKV(key, value)
 	}
 }
 
-// named returns the header names that a Connection header lists.
-func named(connection []byte) map[string]bool {
+// connectionHeaders returns the header names listed in a Connection header, in lower case.
+func connectionHeaders(connection []byte) map[string]bool {
 	if len(connection) == 0 {
 		return nil
 	}
@@ -68,9 +68,9 @@
 	return out
 }
 
-// unsafeHeaders returns what makes a request's framing or identity ambiguous, or "". It looks at the headers
-// as they came, because the parser keeps only one of two that exclude each other.
-func unsafeHeaders(h *fasthttp.RequestHeader) string {
+// headerAmbiguity returns why the length or the host of a request is ambiguous, or "" if neither is. It reads
+// the raw headers, because the parser keeps only one of two conflicting headers.
+func headerAmbiguity(h *fasthttp.RequestHeader) string {
 	lengths, encodings, hosts := 0, 0, 0
 	for line := range bytes.SplitSeq(h.RawHeaders(), []byte{'\n'}) {
 		key, _, _ := bytes.Cut(line, []byte{':'})
--- a/internal/entry/invariants_test.go
+++ b/internal/entry/invariants_test.go
@@ -22,7 +22,7 @@
 	"moorrun.dev/moorrun/internal/verdict"
 )
 
-func newChecked() (*Server, *invariant.Checker) {
+func newTestServer() (*Server, *invariant.Checker) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	m := mirror.New()
 	router := routing.New(drains.NewBook(m), domains.NewBook(m), evidence.NewTable(), func() *config.Config { return nil })
@@ -35,42 +35,42 @@
 	return &call{ctx: ctx, id: id, deadline: time.Now().Add(time.Minute)}
 }
 
-func TestPlantedForeignAnswerIsCaught(t *testing.T) {
-	s, checker := newChecked()
-	s.checkOwn(newCall("mine"), []byte("mine"))
+func TestAnswerWithAnotherRequestIDIsReported(t *testing.T) {
+	s, checker := newTestServer()
+	s.checkAnswerID(newCall("mine"), []byte("mine"))
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(0))
-	s.checkOwn(newCall("mine"), []byte("another's"))
+	s.checkAnswerID(newCall("mine"), []byte("another's"))
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(1))
 }
 
-func TestPlantedSecondSendIsCaughtAndHeldBack(t *testing.T) {
-	s, checker := newChecked()
+func TestSecondSendOfNonRepeatableRequestIsBlocked(t *testing.T) {
+	s, checker := newTestServer()
 	p := &plainCall{call: newCall("once"), mayHaveRun: true}
 	err := s.sendPlain(p, config.Endpoint{Name: "e", Address: "127.0.0.1:1"})
 	qt.Assert(t, verdict.Of(err), qt.Equals, verdict.MayHaveRun)
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(1))
 }
 
-func TestPlantedSendWithoutEvidenceIsCaughtAndHeldBack(t *testing.T) {
-	s, checker := newChecked()
+func TestSendToGroupWithoutEvidenceIsBlocked(t *testing.T) {
+	s, checker := newTestServer()
 	a := &attempt{call: newCall("broken"), target: routing.Target{Group: "g", Domain: "d", Leader: "127.0.0.1:1"}}
 	_, err := s.send(a)
 	qt.Assert(t, verdict.Of(err), qt.Equals, verdict.NotRun)
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(1))
 }
 
-// refusedAt reads a request as the server would and returns why it is refused, "" when it is not.
-func refusedAt(raw string) string {
+// refusalReason parses a request header as the server does and returns why it is refused, or "" if it is not.
+func refusalReason(raw string) string {
 	var h fasthttp.RequestHeader
 	if err := h.Read(bufio.NewReader(strings.NewReader(raw))); err != nil {
 		return err.Error()
 	}
-	return unsafeHeaders(&h)
+	return headerAmbiguity(&h)
 }
 
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	const line = "POST /v1/completions HTTP/1.1\r\n"
-	qt.Assert(t, refusedAt(line+"Host: a\r\nContent-Length: 3\r\n\r\n"), qt.Equals, "")
+	qt.Assert(t, refusalReason(line+"Host: a\r\nContent-Length: 3\r\n\r\n"), qt.Equals, "")
 	for _, headers := range []string{
 		"Host: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n",
 		"Host: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -78,7 +78,7 @@
 		"Host: a\r\nContent-Length: -3\r\n",
 		"Host: a\r\nContent-Length : 3\r\n",
 	} {
-		qt.Check(t, refusedAt(line+headers+"\r\n"), qt.Not(qt.Equals), "", qt.Commentf("%q", headers))
+		qt.Check(t, refusalReason(line+headers+"\r\n"), qt.Not(qt.Equals), "", qt.Commentf("%q", headers))
 	}
 }
 
@@ -94,7 +94,7 @@
 		copyRequestHeaders(&to, &from)
 		for _, name := range []string{"Authorization", "Transfer-Encoding", "Upgrade", groupHeader, birthHeader, forwardedHeader} {
 			if value := to.Peek(name); len(value) > 0 {
-				t.Fatalf("%s: %q was passed on from %q", name, value, headers)
+				t.Fatalf("header %s: %q was forwarded from %q", name, value, headers)
 			}
 		}
 	})
@@ -105,7 +105,7 @@
 	f.Add("e30.AAAA", "token")
 	f.Fuzz(func(t *testing.T, token, credential string) {
 		if claims, err := readResumeToken(token, credential); err == nil {
-			t.Fatalf("%q was taken as %+v", token, claims)
+			t.Fatalf("token %q was accepted with claims %+v", token, claims)
 		}
 	})
 }
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -10,16 +10,17 @@
 	"moorrun.dev/moorrun/internal/once"
 )
 
-// keyPrefix is the answer of /v1/keys.
+// keyPrefix is the response body of /v1/keys.
 type keyPrefix struct {
-	Prefix     string `json:"prefix"`      // put a slash and a unique text behind it
-	LifetimeMS int64  `json:"lifetime_ms"` // use it for that long
+	Prefix     string `json:"prefix"`      // a key is the prefix, a slash and a unique text
+	LifetimeMS int64  `json:"lifetime_ms"` // how long new keys may be made from the prefix
 }
 
-// keyLifetime is how long callers may make keys from one prefix.
+// keyLifetime is how long callers may make new keys from one prefix.
 const keyLifetime = 5 * time.Minute
 
-// keys hands out the prefix of idempotency keys whose home is this process.
+// keys handles /v1/keys: it issues a prefix for idempotency keys whose home is this process, the only one that
+// may run their requests.
 func (s *Server) keys(c *call) *failure {
 	if !c.ctx.IsPost() {
 		return notRun(fasthttp.StatusMethodNotAllowed, "use POST")
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -10,15 +10,15 @@
 	"moorrun.dev/moorrun/internal/verdict"
 )
 
-// problem is the JSON body of every refusal and failure.
-type problem struct {
+// errorResponse is the JSON body of every refusal and failure that this node answers.
+type errorResponse struct {
 	Error     string `json:"error"`
 	Verdict   string `json:"verdict"`
 	RequestID string `json:"request_id"`
 	RetryMS   int64  `json:"retry_after_ms,omitempty"`
 }
 
-// failure is how a request ends that gets no answer from an endpoint.
+// failure describes the response to a request that got no answer from an endpoint.
 type failure struct {
 	status     int
 	verdict    verdict.Verdict
@@ -36,7 +36,7 @@
 		seconds := (f.retryAfter + time.Second - 1) / time.Second
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(seconds)))
 	}
-	body, _ := json.Marshal(problem{f.message, f.verdict.String(), requestID, f.retryAfter.Milliseconds()})
+	body, _ := json.Marshal(errorResponse{f.message, f.verdict.String(), requestID, f.retryAfter.Milliseconds()})
 	ctx.SetBody(body)
 }
 
@@ -44,6 +44,6 @@
 	return &failure{status: status, verdict: verdict.NotRun, message: message}
 }
 
-func notRunYet(message string, retryAfter time.Duration) *failure {
+func unavailable(message string, retryAfter time.Duration) *failure {
 	return &failure{fasthttp.StatusServiceUnavailable, verdict.NotRun, message, retryAfter}
 }
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -19,24 +19,24 @@
 	"moorrun.dev/moorrun/internal/verdict"
 )
 
-// resumeClaims say which stream a token resumes. The token is signed with the hash of the credential that
-// opened the stream, which every node knows from the configuration, so any node can check it and only that
-// credential can use it.
+// resumeClaims identify the stream that a resume token continues. The token is signed with the hash of the
+// credential that opened the stream. Every node has that hash from the configuration, so any node can verify the
+// token, and only that credential can use it.
 type resumeClaims struct {
-	Stream  string `json:"s"` // request id
+	Stream  string `json:"s"` // request ID
 	Model   string `json:"m"`
 	Group   string `json:"g"`
 	Birth   int64  `json:"b"`
-	Address string `json:"a"` // of the engine
+	Address string `json:"a"` // address of the engine
 }
 
 // resumeRequest is the body of /v1/resume.
 type resumeRequest struct {
 	Token string `json:"token"`
-	From  int64  `json:"from"` // how many events the caller has received whole
+	From  int64  `json:"from"` // number of events that the caller has received completely
 }
 
-var errToken = errors.New("the resume token is not valid for this credential")
+var errInvalidResumeToken = errors.New("the resume token is not valid for this credential")
 
 func (s *Server) resumeToken(a *attempt) string {
 	claims, err := json.Marshal(resumeClaims{a.call.id, a.target.Model, a.target.Group, a.target.Birth, a.target.Leader})
@@ -53,25 +53,26 @@
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil))
 }
 
-// credential returns the caller's token; open has checked that it is there.
+// credential returns the caller's bearer token; prepareCall has checked that it is present.
 func (c *call) credential() string {
-	return string(c.ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)[len(bearer):])
+	return string(c.ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)[len(bearerPrefix):])
 }
 
 func readResumeToken(token, credential string) (resumeClaims, error) {
 	var claims resumeClaims
 	body, signature, _ := strings.Cut(token, ".")
 	if !hmac.Equal([]byte(signature), []byte(sign(body, credential))) {
-		return claims, errToken
+		return claims, errInvalidResumeToken
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(body)
 	if err != nil {
-		return claims, errToken
+		return claims, errInvalidResumeToken
 	}
 	return claims, json.Unmarshal(raw, &claims)
 }
 
-// resume continues a stream whose entry VM was lost, from the event after those the caller has.
+// resume handles /v1/resume: it continues a stream whose entry VM was lost, starting with the first event that
+// the caller has not received.
 func (s *Server) resume(c *call) *failure {
 	var r resumeRequest
 	if err := json.Unmarshal(c.ctx.PostBody(), &r); err != nil || !c.ctx.IsPost() || r.From < 0 {
@@ -79,7 +80,7 @@
 	}
 	claims, err := readResumeToken(r.Token, c.credential())
 	if err != nil {
-		return notRun(fasthttp.StatusForbidden, errToken.Error())
+		return notRun(fasthttp.StatusForbidden, errInvalidResumeToken.Error())
 	}
 	c.id = claims.Stream
 	target, ok := s.Router.Target(claims.Group, claims.Birth, clock.Now())
@@ -91,7 +92,7 @@
 	request.SetRequestURI(fmt.Sprintf("/engine/streams/%s?from=%d", claims.Stream, r.From))
 	request.SetHost(claims.Address)
 	request.Header.Set(requestIDHeader, c.id)
-	answer, err := s.Calls.Do(context.WithoutCancel(c.ctx), claims.Address, request, httpcall.Options{Timeout: c.left(), Stream: true})
+	answer, err := s.Calls.Do(context.WithoutCancel(c.ctx), claims.Address, request, httpcall.Options{Timeout: c.remaining(), Stream: true})
 	if err != nil {
 		return &failure{fasthttp.StatusBadGateway, verdict.MayHaveRun, "the engine does not answer: " + err.Error(), time.Second}
 	}
@@ -100,5 +101,5 @@
 		return &failure{fasthttp.StatusGone, verdict.MayHaveRun, "the engine no longer has the stream", 0}
 	}
 	a := &attempt{call: c, target: target, sentAt: clock.Now()}
-	return s.pass(a, answer, true)
+	return s.relayAnswer(a, answer, true)
 }
--- a/internal/entry/retry_budget.go
+++ b/internal/entry/retry_budget.go
@@ -3,29 +3,29 @@
 import "sync"
 
 const (
-	// retryPart is the part of requests that may be tried again.
-	retryPart = 0.08
-	// retryBurst is how many retries may be saved up.
-	retryBurst = 10
+	// retryRatio is the number of retries earned by each request.
+	retryRatio = 0.08
+	// maxSavedRetries is the maximum number of unused retries that the budget holds.
+	maxSavedRetries = 10
 )
 
-// retryBudget bounds extra attempts to a part of the requests.
+// retryBudget limits the number of retries to a fraction of the number of requests.
 type retryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{tokens: retryBurst} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxSavedRetries} }
 
-// request earns a part of a retry.
-func (b *retryBudget) request() {
+// recordRequest adds retryRatio of a retry to the budget.
+func (b *retryBudget) recordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(retryBurst, b.tokens+retryPart)
+	b.tokens = min(maxSavedRetries, b.tokens+retryRatio)
 }
 
-// take spends one retry and reports whether there was one.
-func (b *retryBudget) take() bool {
+// tryTake takes one retry from the budget and reports whether one was available.
+func (b *retryBudget) tryTake() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,5 +1,6 @@
-// Package entry answers callers: it checks their requests, waits for places, sends the requests to
-// replica groups or plain endpoints and passes the answers on whole.
+// Package entry serves callers: it checks their requests, waits for places (each the right to run one request),
+// sends the requests to replica groups or to the endpoints of plain services, which serve no model, and relays
+// the answers. A caller can tell a truncated answer from a complete one.
 package entry
 
 import (
@@ -28,26 +29,26 @@
 )
 
 const (
-	// contactLimit is how long a node serves new requests without hearing anyone.
-	contactLimit = 3 * time.Second
-	maxBody      = 4 << 20
-	maxHeader    = 16 << 10
-	readTimeout  = 30 * time.Second
-	idleTimeout  = 60 * time.Second
-	// writeTimeout ends an answer that its caller does not read, and gives its place back; no request may take
-	// longer.
-	writeTimeout = maxDeadline + readTimeout
+	// maxContactAge is how long a node accepts new requests without hearing from the platform or another node.
+	maxContactAge         = 3 * time.Second
+	maxRequestBodyBytes   = 4 << 20
+	maxRequestHeaderBytes = 16 << 10
+	readTimeout           = 30 * time.Second
+	idleTimeout           = 60 * time.Second
+	// writeTimeout ends an answer that its caller does not read and releases its place. It exceeds maxTimeout,
+	// so no request takes longer.
+	writeTimeout = maxTimeout + readTimeout
 )
 
-// Options are the parts a Server is made of.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	Current   func() *config.Config
 	Contact   *peer.Contact
 	Members   *membership.Table
 	Router    *routing.Router
 	Services  *routing.Services
-	Admission *admission.Admission // to places of replica groups
-	// ServiceAdmission is that to places of plain services' endpoints.
+	Admission *admission.Admission // grants places of replica groups
+	// ServiceAdmission grants places of the endpoints of plain services.
 	ServiceAdmission *admission.Admission
 	Calls            *httpcall.Client
 	Engine           infra.Engine
@@ -56,15 +57,15 @@
 	Checker          *invariant.Checker
 	Scope            tally.Scope
 	Logger           log.Logger
-	// AddressLifetime is how long a caller may keep the answer to which address to use.
+	// AddressLifetime is how long a caller may cache the answer of /v1/which.
 	AddressLifetime time.Duration
 }
 
-// Server is the callers' side of a node.
+// Server is the HTTP server of a node for callers.
 type Server struct {
 	Options
 	budget   *retryBudget
-	meters   meters
+	metrics  metrics
 	http     *fasthttp.Server
 	inflight atomic.Int64
 
@@ -76,19 +77,19 @@
 func New(o Options) *Server {
 	s := &Server{
 		Options: o, budget: newRetryBudget(),
-		meters: newMeters(o.Scope),
+		metrics: newMetrics(o.Scope),
 	}
 	s.http = &fasthttp.Server{
-		Handler: s.handle, Name: "moorrun", MaxRequestBodySize: maxBody, ReadBufferSize: maxHeader,
+		Handler: s.handle, Name: "moorrun", MaxRequestBodySize: maxRequestBodyBytes, ReadBufferSize: maxRequestHeaderBytes,
 		ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, CloseOnShutdown: true,
 		NoDefaultServerHeader: true, NoDefaultContentType: true, DisablePreParseMultipartForm: true,
-		ErrorHandler: refuseUnread,
+		ErrorHandler: handleReadError,
 	}
 	return s
 }
 
-// refuseUnread answers a request that could not be read.
-func refuseUnread(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that the HTTP server could not read or parse.
+func handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	switch {
 	case strings.Contains(err.Error(), "body size exceeds"):
@@ -100,27 +101,27 @@
 	ctx.SetConnectionClose()
 }
 
-// Serve answers on lis until Shutdown.
+// Serve serves connections from lis until Shutdown.
 func (s *Server) Serve(lis net.Listener) error { return s.http.Serve(lis) }
 
-// Drain makes every answer ask its caller to close the connection.
+// Drain makes the server close each connection after its next answer.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Shutdown stops listening and waits for the requests in flight.
+// Shutdown stops listening and waits for the requests in flight, at most until ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.ShutdownWithContext(ctx) }
 
-// Inflight returns how many requests are being worked on.
+// Inflight returns the number of requests in progress, including answers that are still streaming.
 func (s *Server) Inflight() int64 { return s.inflight.Load() }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch path {
 	case "/v1/which":
-		s.which(ctx)
+		s.serveAddresses(ctx)
 		return
 	case "/healthz":
 		ctx.SetBodyString("ok\n")
@@ -130,7 +131,7 @@
 	s.inflight.Add(1)
 	f := s.dispatch(ctx, path, id)
 	if f != nil {
-		s.doubt(ctx, f)
+		s.correctVerdict(ctx, f)
 		f.write(ctx, id)
 		_ = level.Info(s.Logger).Log("msg", "refused", "request_id", id, "path", path, "status", f.status,
 			"verdict", f.verdict.String(), "err", f.message)
@@ -146,19 +147,19 @@
 }
 
 func (s *Server) dispatch(ctx *fasthttp.RequestCtx, path, id string) *failure {
-	c, f := s.open(ctx, id)
+	c, f := s.prepareCall(ctx, id)
 	if f != nil {
 		return f
 	}
 	switch {
 	case path == "/v1/completions":
-		return s.complete(c)
+		return s.serveCompletion(c)
 	case path == "/v1/resume":
 		return s.resume(c)
 	case path == "/v1/keys":
 		return s.keys(c)
 	case strings.HasPrefix(path, servicesPath):
-		return s.service(c, path)
+		return s.serveService(c, path)
 	default:
 		return notRun(fasthttp.StatusNotFound, "no such path; see /v1/completions, /v1/keys, /v1/which and /services/NAME/")
 	}
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -23,22 +23,22 @@
 
 const (
 	servicesPath = "/services/"
-	// maxPlainBody is the largest answer of a plain endpoint.
-	maxPlainBody = 32 << 20
+	// maxPlainAnswerBytes is the maximum size of an answer from an endpoint of a plain service.
+	maxPlainAnswerBytes = 32 << 20
 )
 
-// plainCall is one request to a plain service.
+// plainCall is one request to a plain service, one that serves no model.
 type plainCall struct {
 	*call
 	name       string
 	service    *config.Service
-	path       string // at the endpoint, with the query
+	path       string // path at the endpoint, including the query
 	repeatable bool
-	mayHaveRun bool // bytes of an attempt may have reached an endpoint
+	mayHaveRun bool // whether bytes of an attempt may have reached an endpoint
 }
 
-// service serves /services/NAME/PATH.
-func (s *Server) service(c *call, path string) *failure {
+// serveService handles /services/NAME/PATH.
+func (s *Server) serveService(c *call, path string) *failure {
 	name, rest, _ := strings.Cut(path[len(servicesPath):], "/")
 	service, ok := c.config.Service(c.workspace, name)
 	if !ok {
@@ -49,19 +49,19 @@
 	if query := c.ctx.URI().QueryString(); len(query) > 0 {
 		p.path += "?" + string(query)
 	}
-	s.meters.requests.Inc(1)
-	s.budget.request()
-	f := s.plain(p)
+	s.metrics.requests.Inc(1)
+	s.budget.recordRequest()
+	f := s.servePlain(p)
 	if f != nil {
 		s.countFailure(c, name, f)
 	}
 	return f
 }
 
-func (s *Server) plain(p *plainCall) *failure {
+func (s *Server) servePlain(p *plainCall) *failure {
 	text := string(p.ctx.Request.Header.Peek(keyHeader))
 	if p.repeatable || text == "" {
-		return s.run(p)
+		return s.runWithRetries(p)
 	}
 	key, err := once.ParseKey(text)
 	if err != nil {
@@ -72,32 +72,33 @@
 		return s.forward(p, key)
 	}
 	if key.Incarnation != self.Incarnation {
-		return homeLost("the key's home has restarted")
+		return outcomeUnknown("the key's home has restarted")
 	}
 	return s.runOnce(p, key)
 }
 
-func homeLost(why string) *failure {
-	return &failure{fasthttp.StatusConflict, verdict.MayHaveRun, why + ": it is not known whether the request ran", 0}
+func outcomeUnknown(reason string) *failure {
+	return &failure{fasthttp.StatusConflict, verdict.MayHaveRun, reason + ": it is not known whether the request ran", 0}
 }
 
-// runOnce runs the request if its key is fresh, and answers what became of it otherwise.
+// runOnce runs the request if its key has not been used yet, and otherwise answers with the outcome of the
+// first send.
 func (s *Server) runOnce(p *plainCall, key once.Key) *failure {
 	entry, fresh, err := s.Once.Claim(p.workspace, key, p.fingerprint())
 	switch {
 	case errors.Is(err, once.ErrForgotten):
-		return homeLost(err.Error())
+		return outcomeUnknown(err.Error())
 	case errors.Is(err, once.ErrReused):
 		return notRun(fasthttp.StatusUnprocessableEntity, err.Error())
 	case errors.Is(err, once.ErrFuture):
 		return notRun(fasthttp.StatusBadRequest, err.Error())
 	case err != nil:
-		return notRunYet(err.Error(), time.Minute)
+		return unavailable(err.Error(), time.Minute)
 	}
 	if !fresh {
 		return s.replay(p, entry)
 	}
-	f := s.run(p)
+	f := s.runWithRetries(p)
 	switch {
 	case f == nil:
 		s.Once.Finish(entry, storedAnswer(p.ctx))
@@ -109,7 +110,7 @@
 	return f
 }
 
-// storedAnswer copies the answer out of the request's buffers, which are used again afterwards.
+// storedAnswer copies the answer out of the request's buffers, which are reused after the request.
 func storedAnswer(ctx *fasthttp.RequestCtx) once.Stored {
 	return once.Stored{
 		Status: ctx.Response.StatusCode(), ContentType: string(ctx.Response.Header.ContentType()),
@@ -117,9 +118,9 @@
 	}
 }
 
-// replay waits for the first send of the request to end and answers what it ended with.
+// replay waits until the first send of the request has ended and answers with its outcome.
 func (s *Server) replay(p *plainCall, entry *once.Entry) *failure {
-	timer := time.NewTimer(p.left())
+	timer := time.NewTimer(p.remaining())
 	defer timer.Stop()
 	select {
 	case <-entry.Wait():
@@ -151,11 +152,12 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// run sends the request, again only when it certainly did not run or may run again.
-func (s *Server) run(p *plainCall) *failure {
+// runWithRetries sends the request. It retries only if the request certainly did not run or is repeatable, and
+// only within the deadline and the retry budget.
+func (s *Server) runWithRetries(p *plainCall) *failure {
 	avoid := ""
 	for {
-		endpoint, place, f := s.endpoint(p, avoid)
+		endpoint, place, f := s.acquireEndpoint(p, avoid)
 		if f != nil {
 			return f
 		}
@@ -169,38 +171,38 @@
 		s.Services.Failed(endpoint.Name, clock.Now())
 		avoid = endpoint.Name
 		v := verdict.Of(err)
-		again := (v == verdict.NotRun || p.repeatable) && p.left() > 0 && s.budget.take()
-		if !again {
+		retry := (v == verdict.NotRun || p.repeatable) && p.remaining() > 0 && s.budget.tryTake()
+		if !retry {
 			status := fasthttp.StatusBadGateway
 			if httpcall.IsTimeout(err) {
 				status = fasthttp.StatusGatewayTimeout
 			}
 			return &failure{status, v, "the endpoint failed: " + err.Error(), time.Second}
 		}
-		s.meters.retries.Inc(1)
+		s.metrics.retries.Inc(1)
 	}
 }
 
-// endpoint waits for a place at an endpoint, among those that are not drained.
-func (s *Server) endpoint(p *plainCall, avoid string) (config.Endpoint, *admission.Place, *failure) {
+// acquireEndpoint waits for a place at one of the service's endpoints that are not drained.
+func (s *Server) acquireEndpoint(p *plainCall, avoid string) (config.Endpoint, *admission.Place, *failure) {
 	pool := routing.ServicePool(p.workspace, p.name)
 	for {
-		if left := s.Services.PauseLeft(pool, clock.Now()); left > p.left() {
-			return config.Endpoint{}, nil, notRunYet("each endpoint of the service has asked for a pause", left)
+		if left := s.Services.PauseLeft(pool, clock.Now()); left > p.remaining() {
+			return config.Endpoint{}, nil, unavailable("each endpoint of the service has asked for a pause", left)
 		}
 		if len(s.Services.Endpoints(pool)) == 0 {
-			return config.Endpoint{}, nil, notRunYet("the service has no endpoint in use", time.Second)
+			return config.Endpoint{}, nil, unavailable("the service has no endpoint in use", time.Second)
 		}
 		place, err := s.ServiceAdmission.Acquire(context.Background(), admission.Request{
-			Model: pool, Workspace: p.workspace, Avoid: avoid, Patience: p.left(),
+			Model: pool, Workspace: p.workspace, Avoid: avoid, Patience: p.remaining(),
 		})
 		if err != nil {
-			return config.Endpoint{}, nil, refused(err)
+			return config.Endpoint{}, nil, admissionFailure(err)
 		}
 		if e, ok := s.Services.Endpoint(place.Group); ok {
 			return e, place, nil
 		}
-		place.Release(false) // it went out of use between
+		place.Release(false) // the endpoint became unusable after the place was granted
 	}
 }
 
@@ -217,23 +219,23 @@
 	request.SetRequestURI(p.path)
 	request.SetHost(endpoint.Address)
 	request.Header.Set(requestIDHeader, p.id)
-	request.Header.Set(deadlineHeader, strconv.FormatInt(max(1, p.left().Milliseconds()), 10))
+	request.Header.Set(deadlineHeader, strconv.FormatInt(max(1, p.remaining().Milliseconds()), 10))
 	request.SetBodyRaw(p.ctx.PostBody())
 	answer, err := s.Calls.Do(context.WithoutCancel(p.ctx), endpoint.Address, request,
-		httpcall.Options{Timeout: p.left(), Fresh: !p.repeatable, MaxBody: maxPlainBody})
+		httpcall.Options{Timeout: p.remaining(), Fresh: !p.repeatable, MaxBody: maxPlainAnswerBytes})
 	if err != nil {
 		p.mayHaveRun = p.mayHaveRun || verdict.Of(err) != verdict.NotRun
 		return err
 	}
-	defer answer.Close() //nolint:errcheck // the answer is read whole
-	if pause := pauseOf(answer); pause > 0 {
+	defer answer.Close() //nolint:errcheck // the answer has been read completely
+	if pause := requestedPause(answer); pause > 0 {
 		s.Services.AskedToPause(endpoint.Name, clock.Now().Add(pause))
 	}
-	return s.passPlain(p, answer)
+	return s.relayPlainAnswer(p, answer)
 }
 
-// pauseOf returns the Retry-After of an endpoint that refuses a request, zero if there is none.
-func pauseOf(answer *httpcall.Answer) time.Duration {
+// requestedPause returns the Retry-After value of an answer with status 429 or 503, zero if it has none.
+func requestedPause(answer *httpcall.Answer) time.Duration {
 	switch answer.Response.StatusCode() {
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
 		return httpcall.RetryAfter(&answer.Response.Header)
@@ -242,16 +244,16 @@
 	}
 }
 
-// passPlain copies the answer to the caller, unless it names another request.
-func (s *Server) passPlain(p *plainCall, answer *httpcall.Answer) error {
+// relayPlainAnswer copies the answer to the caller's response, unless it carries the ID of another request.
+func (s *Server) relayPlainAnswer(p *plainCall, answer *httpcall.Answer) error {
 	p.mayHaveRun = true
 	if id := answer.Response.Header.Peek(requestIDHeader); len(id) > 0 && string(id) != p.id {
-		s.meters.crossed.Inc(1)
+		s.metrics.crossedAnswers.Inc(1)
 		return verdict.New(verdict.MayHaveRun, errors.New("the endpoint answered another request"))
 	}
 	response := &p.ctx.Response
 	copyResponseHeaders(&response.Header, &answer.Response.Header)
-	s.checkOwn(p.call, response.Header.Peek(requestIDHeader))
+	s.checkAnswerID(p.call, response.Header.Peek(requestIDHeader))
 	response.SetStatusCode(answer.Response.StatusCode())
 	response.Header.Set(verdict.Header, verdict.Ran.String())
 	response.Header.Set(requestIDHeader, p.id)
--- a/internal/entry/stream_body.go
+++ b/internal/entry/stream_body.go
@@ -18,36 +18,36 @@
 )
 
 var (
-	endMarker = []byte("data: [DONE]\n\n")
-	eventEnd  = []byte("\n\n")
-	errCut    = errors.New("the engine's answer was cut")
+	endMarker    = []byte("data: [DONE]\n\n")
+	eventEnd     = []byte("\n\n")
+	errTruncated = errors.New("the engine's answer ended before it was complete")
 )
 
 const (
-	// silenceLimit is how long an engine may be silent within an answer.
-	silenceLimit = 20 * time.Second
-	tailBytes    = 16
-	armEvery     = time.Second
-	armedFor     = 2 * time.Second
-	cancelWait   = 500 * time.Millisecond
+	// maxSilence is how long an engine may send nothing within an answer.
+	maxSilence             = 20 * time.Second
+	tailBytes              = 16
+	timeoutRefreshInterval = time.Second
+	awaitTimeout           = 2 * time.Second
+	cancelTimeout          = 500 * time.Millisecond
 )
 
-// streamBody passes an engine's answer on as it comes. An answer that was cut never ends as if it were
-// whole: the caller gets an error event and an unfinished body.
+// streamBody relays an engine's answer to the caller as it arrives. A truncated answer never looks complete: the
+// caller gets an error event, if the answer is an event stream, and an unfinished body.
 type streamBody struct {
 	server  *Server
 	attempt *attempt
 	answer  *httpcall.Answer
-	marker  []byte // the stream is whole only after it; nil for an answer with a length
-
-	armed   time.Time       // when the read timeout was last set
-	tail    [tailBytes]byte // last bytes passed on
-	tailLen int
-	events  int64
-	first   time.Time
-	whole   bool
-	notice  *bytes.Reader // the error event, once the answer was cut
-	once    sync.Once
+	marker  []byte // the stream is complete only after it; nil for an answer with a length
+
+	timeoutSetAt time.Time       // when the read timeout was last set
+	tail         [tailBytes]byte // last bytes relayed
+	tailLen      int
+	events       int64
+	firstReadAt  time.Time
+	completed    bool
+	errorEvent   *bytes.Reader // rest of the error event; non-nil once the answer was truncated
+	closeOnce    sync.Once
 }
 
 func newStreamBody(s *Server, a *attempt, answer *httpcall.Answer) *streamBody {
@@ -56,42 +56,42 @@
 
 // Read implements io.Reader for the HTTP server, which flushes after each read.
 func (b *streamBody) Read(p []byte) (int, error) {
-	if b.notice != nil {
-		return b.readNotice(p)
+	if b.errorEvent != nil {
+		return b.readErrorEvent(p)
 	}
-	if err := b.await(); err != nil {
-		_ = b.cut(err)
-		return b.readNotice(p)
+	if err := b.awaitBytes(); err != nil {
+		_ = b.abort(err)
+		return b.readErrorEvent(p)
 	}
 	n, err := b.answer.Read(p)
 	if n > 0 {
-		b.note(p[:n])
+		b.recordBytes(p[:n])
 	}
 	switch {
 	case err == nil:
 		return n, nil
-	case errors.Is(err, io.EOF) && b.ended():
-		b.whole = true
+	case errors.Is(err, io.EOF) && b.isComplete():
+		b.completed = true
 		return n, io.EOF
 	case n > 0:
-		_ = b.cut(err)
+		_ = b.abort(err)
 		return n, nil
 	default:
-		_ = b.cut(err)
-		return b.readNotice(p)
+		_ = b.abort(err)
+		return b.readErrorEvent(p)
 	}
 }
 
-// await waits for the next bytes as long as the deadline and the engine's silence allow and the replica
-// group is whole: a group that has lost a member will not go on.
-func (b *streamBody) await() error {
+// awaitBytes waits for the next bytes until the deadline passes, the engine has sent nothing
+// for maxSilence, or a VM of the replica group is missing: a group that has lost a VM does not continue.
+func (b *streamBody) awaitBytes() error {
 	since := clock.Now()
-	if b.marker == nil { // a body with a length has no byte behind its last to wait for
-		return b.answer.SetReadTimeout(min(silenceLimit, b.attempt.call.deadline.Sub(since)))
+	if b.marker == nil { // no byte follows the last of a body with a length, so there is none to wait for
+		return b.answer.SetReadTimeout(min(maxSilence, b.attempt.call.deadline.Sub(since)))
 	}
 	for {
 		now := clock.Now()
-		if err := b.arm(now); err != nil {
+		if err := b.refreshTimeout(now); err != nil {
 			return err
 		}
 		err := b.answer.Await()
@@ -99,27 +99,27 @@
 			return err
 		}
 		now = clock.Now()
-		whole := now.Before(b.server.Router.WholeUntil(b.attempt.target))
-		if !whole || now.Sub(since) > silenceLimit || now.After(b.attempt.call.deadline) {
+		allPresent := now.Before(b.server.Router.WholeUntil(b.attempt.target))
+		if !allPresent || now.Sub(since) > maxSilence || now.After(b.attempt.call.deadline) {
 			return err
 		}
 	}
 }
 
-// arm bounds the wait for the next bytes. Setting a timer for each event would cost more than it says, so
-// it is set again only once in a while.
-func (b *streamBody) arm(now time.Time) error {
-	if now.Sub(b.armed) < armEvery {
+// refreshTimeout limits the wait for the next bytes. Setting a timer for each event costs more than it is worth,
+// so the timeout is set at most once per timeoutRefreshInterval.
+func (b *streamBody) refreshTimeout(now time.Time) error {
+	if now.Sub(b.timeoutSetAt) < timeoutRefreshInterval {
 		return nil
 	}
-	b.armed = now
-	return b.answer.SetReadTimeout(min(armedFor, b.attempt.call.deadline.Sub(now)))
+	b.timeoutSetAt = now
+	return b.answer.SetReadTimeout(min(awaitTimeout, b.attempt.call.deadline.Sub(now)))
 }
 
-// note keeps count of the events and the last bytes.
-func (b *streamBody) note(p []byte) {
-	if b.first.IsZero() {
-		b.first = clock.Now()
+// recordBytes counts the events in p and keeps the last bytes relayed.
+func (b *streamBody) recordBytes(p []byte) {
+	if b.firstReadAt.IsZero() {
+		b.firstReadAt = clock.Now()
 	}
 	if b.marker == nil {
 		return
@@ -136,61 +136,61 @@
 	b.tailLen += copy(b.tail[b.tailLen:], p)
 }
 
-func (b *streamBody) ended() bool {
+func (b *streamBody) isComplete() bool {
 	return b.marker == nil || bytes.HasSuffix(b.tail[:b.tailLen], b.marker)
 }
 
-func (b *streamBody) cut(err error) error {
-	b.server.meters.cutStreams.Inc(1)
+func (b *streamBody) abort(err error) error {
+	b.server.metrics.cutStreams.Inc(1)
 	b.server.Router.Failed(b.attempt.target.Group, b.attempt.target.Birth)
-	_ = level.Warn(b.server.Logger).Log("msg", "answer cut", "request_id", b.attempt.call.id,
+	_ = level.Warn(b.server.Logger).Log("msg", "answer truncated", "request_id", b.attempt.call.id,
 		"group", b.attempt.target.Group, "err", err)
-	b.notice = bytes.NewReader(nil)
+	b.errorEvent = bytes.NewReader(nil)
 	if b.marker != nil {
 		text := `data: {"error":"the answer was cut","verdict":"` + verdict.MayHaveRun.String() + `","request_id":` + strconv.Quote(b.attempt.call.id) + "}\n\n"
-		b.notice = bytes.NewReader([]byte("event: error\n" + text))
+		b.errorEvent = bytes.NewReader([]byte("event: error\n" + text))
 	}
-	return errCut
+	return errTruncated
 }
 
-func (b *streamBody) readNotice(p []byte) (int, error) {
-	if b.notice.Len() == 0 {
-		return 0, errCut
+func (b *streamBody) readErrorEvent(p []byte) (int, error) {
+	if b.errorEvent.Len() == 0 {
+		return 0, errTruncated
 	}
-	return b.notice.Read(p)
+	return b.errorEvent.Read(p)
 }
 
-// Close is called by the HTTP server after the last byte, or when the caller has left.
+// Close implements io.Closer. The HTTP server calls it after the last byte, or when the caller has disconnected.
 func (b *streamBody) Close() error {
-	b.once.Do(b.finish)
+	b.closeOnce.Do(b.release)
 	return nil
 }
 
-func (b *streamBody) finish() {
+func (b *streamBody) release() {
 	s, a := b.server, b.attempt
 	defer s.inflight.Add(-1)
 	_ = b.answer.Close()
-	if a.place != nil { // a resumed stream goes on in the place it had
-		a.place.Release(b.whole)
-	}
-	if !b.whole && b.marker != nil {
-		b.cancel()
-	}
-	outcome := burn.Outcome{Failed: !b.whole, Latency: clock.Since(a.call.started)}
-	if !b.first.IsZero() {
-		outcome.FirstToken = b.first.Sub(a.call.started)
-		s.meters.firstToken.Record(outcome.FirstToken)
-		if b.whole {
-			s.Router.Succeeded(a.target.Group, a.target.Birth, b.first.Sub(a.sentAt), clock.Since(a.sentAt))
+	if a.place != nil { // a resumed stream has no place of its own: it continues in the one it had
+		a.place.Release(b.completed)
+	}
+	if !b.completed && b.marker != nil {
+		b.cancelAtEngine()
+	}
+	outcome := burn.Outcome{Failed: !b.completed, Latency: clock.Since(a.call.started)}
+	if !b.firstReadAt.IsZero() {
+		outcome.FirstToken = b.firstReadAt.Sub(a.call.started)
+		s.metrics.firstToken.Record(outcome.FirstToken)
+		if b.completed {
+			s.Router.Succeeded(a.target.Group, a.target.Birth, b.firstReadAt.Sub(a.sentAt), clock.Since(a.sentAt))
 		}
 	}
-	s.meters.tokens.Inc(b.events)
+	s.metrics.streamEvents.Inc(b.events)
 	s.Burn.Record(a.call.workspace, a.target.Model, outcome)
 }
 
-// cancel stops the stream at the engine, unless its caller may yet resume it elsewhere.
-func (b *streamBody) cancel() {
-	ctx, stop := context.WithTimeout(context.Background(), cancelWait)
+// cancelAtEngine stops the stream at the engine, unless its caller may still resume it on another node.
+func (b *streamBody) cancelAtEngine() {
+	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	_ = b.server.Engine.Cancel(ctx, b.attempt.target.Leader, b.attempt.call.id)
 }
--- a/internal/entry/which.go
+++ b/internal/entry/which.go
@@ -12,22 +12,23 @@
 	"moorrun.dev/moorrun/internal/membership"
 )
 
-// Which is the answer to which address to use.
+// Which is the response body of /v1/which: the addresses that a caller may use.
 type Which struct {
-	Addresses  []Address `json:"addresses"`   // best first
-	LifetimeMS int64     `json:"lifetime_ms"` // keep the answer that long, then ask again
+	Addresses  []Address `json:"addresses"`   // preferred ones first
+	LifetimeMS int64     `json:"lifetime_ms"` // how long the caller may cache the answer
 }
 
-// Address is one entry VM's address for callers.
+// Address is the address for callers of one entry VM.
 type Address struct {
 	Address    string `json:"address"`
 	VM         string `json:"vm"`
 	DataCentre string `json:"data_centre"`
 }
 
-// which names the live members that are not draining, those of this data centre first and each part in
-// a new random order, so that callers spread over them.
-func (s *Server) which(ctx *fasthttp.RequestCtx) {
+// serveAddresses handles /v1/which: it lists the live members of this node's region that are not draining, those
+// in this data centre first. Members in this data centre and the others are each shuffled, to spread callers
+// over them.
+func (s *Server) serveAddresses(ctx *fasthttp.RequestCtx) {
 	now := clock.Now()
 	self := s.Members.Self(now)
 	live := slices.DeleteFunc(s.Members.Live(now), func(m membership.Member) bool { return m.Draining })
@@ -36,11 +37,11 @@
 		live = slices.DeleteFunc(live, func(m membership.Member) bool { return c.Region(m.DataCentre) != region })
 	}
 	if len(live) == 0 {
-		notRunYet("no address takes requests now", time.Second).write(ctx, requestID(ctx))
+		unavailable("no address takes requests now", time.Second).write(ctx, requestID(ctx))
 		return
 	}
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	slices.SortStableFunc(live, func(a, b membership.Member) int { return distance(a, self) - distance(b, self) })
+	slices.SortStableFunc(live, func(a, b membership.Member) int { return dataCentreDistance(a, self) - dataCentreDistance(b, self) })
 	answer := Which{LifetimeMS: s.AddressLifetime.Milliseconds()}
 	for _, m := range live {
 		answer.Addresses = append(answer.Addresses, Address{m.CallerAddress, m.VM, m.DataCentre})
@@ -50,7 +51,7 @@
 	ctx.SetBody(body)
 }
 
-func distance(a, self membership.Member) int {
+func dataCentreDistance(a, self membership.Member) int {
 	if a.DataCentre == self.DataCentre {
 		return 0
 	}
