--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -22,7 +22,7 @@
 	key, err := once.ParseKey(string(text))
 	self := s.Members.Self(clock.Now())
 	atHome := key.VM == self.VM && key.Incarnation == self.Incarnation
-	if err == nil && (!atHome || s.Once.Knows(key)) {
+	if err == nil && (!atHome || s.Once.Contains(key)) {
 		f.verdict = verdict.MayHaveRun
 	}
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -86,7 +86,7 @@
 func (s *Server) runOnce(p *plainCall, key once.Key) *failure {
 	entry, fresh, err := s.Once.Claim(p.workspace, key, p.fingerprint())
 	switch {
-	case errors.Is(err, once.ErrForgotten):
+	case errors.Is(err, once.ErrExpired):
 		return outcomeUnknown(err.Error())
 	case errors.Is(err, once.ErrReused):
 		return notRun(fasthttp.StatusUnprocessableEntity, err.Error())
@@ -105,14 +105,14 @@
 	case f.verdict == verdict.NotRun:
 		s.Once.Abandon(p.workspace, key, entry)
 	default:
-		s.Once.Finish(entry, once.Stored{Status: f.status, Verdict: f.verdict})
+		s.Once.Finish(entry, once.StoredAnswer{Status: f.status, Verdict: f.verdict})
 	}
 	return f
 }
 
 // storedAnswer copies the answer out of the request's buffers, which are reused after the request.
-func storedAnswer(ctx *fasthttp.RequestCtx) once.Stored {
-	return once.Stored{
+func storedAnswer(ctx *fasthttp.RequestCtx) once.StoredAnswer {
+	return once.StoredAnswer{
 		Status: ctx.Response.StatusCode(), ContentType: string(ctx.Response.Header.ContentType()),
 		Body: append([]byte{}, ctx.Response.Body()...), Complete: true, Verdict: verdict.Ran,
 	}
@@ -123,7 +123,7 @@
 	timer := time.NewTimer(p.remaining())
 	defer timer.Stop()
 	select {
-	case <-entry.Wait():
+	case <-entry.Done():
 	case <-timer.C:
 		return &failure{fasthttp.StatusGatewayTimeout, verdict.MayHaveRun, "the first send of this request is still running", time.Second}
 	}
--- a/internal/once/book.go
+++ b/internal/once/book.go
@@ -1,7 +1,7 @@
-// Package once lets a request that carries an idempotency key run at most once.
+// Package once makes a request that carries an idempotency key run at most once.
 //
-// The key's home keeps the record in memory. When the home is gone, what became of its keys is not known,
-// and every later send is answered so: it may have run.
+// The record of a key is kept only in the memory of its home, the process that issued the key. When the home is
+// gone, the outcome of its requests is unknown, and every later send of them gets the verdict "may have run".
 package once
 
 import (
@@ -17,32 +17,32 @@
 
 const (
 	shardCount = 16
-	// retention is for how many minutes a key is good after its stamp.
-	retention = 15
-	// maxBytes bounds the answers kept, over all keys.
-	maxBytes = 6 << 20
-	// MaxStoredBody is the largest body kept.
-	MaxStoredBody = 64 << 10
-	entryBytes    = 256 // of a record without its body
+	// retentionMinutes is how long after its stamp a key is accepted, in minutes.
+	retentionMinutes = 15
+	// maxRecordBytes is the limit for the memory of all records, including the answers stored in them.
+	maxRecordBytes = 6 << 20
+	// MaxStoredBody is the maximum size in bytes of a stored answer body.
+	MaxStoredBody      = 64 << 10
+	entryOverheadBytes = 256 // memory counted for a record without its answer body
 )
 
-// The reasons a claim is refused for.
+// The reasons why Claim refuses a key.
 var (
-	ErrForgotten = errors.New("the key is older than its home remembers")
-	ErrFuture    = errors.New("the key's stamp was never handed out")
-	ErrReused    = errors.New("the key was used for another request")
-	ErrFull      = errors.New("too many keys are remembered")
+	ErrExpired = errors.New("the key is older than its home remembers")
+	ErrFuture  = errors.New("the key's stamp was never handed out")
+	ErrReused  = errors.New("the key was used for another request")
+	ErrFull    = errors.New("too many keys are remembered")
 )
 
-// Book holds the records of the keys whose home this process is.
+// Book holds the records of the keys whose home is this process.
 type Book struct {
 	started time.Time
 	now     func() time.Time
 	shards  [shardCount]shard
 
-	mu     sync.Mutex
-	bytes  int
-	oldest int64 // stamps below this are forgotten
+	mu          sync.Mutex
+	bytes       int
+	oldestStamp int64 // keys with lower stamps are refused, as their records may be deleted
 }
 
 type shard struct {
@@ -50,7 +50,7 @@
 	entries map[string]*Entry
 }
 
-// NewBook returns an empty Book; now is the process's clock.
+// NewBook returns an empty Book; now returns the current time.
 func NewBook(now func() time.Time) *Book {
 	b := &Book{started: now(), now: now}
 	for i := range b.shards {
@@ -59,11 +59,12 @@
 	return b
 }
 
-// SinceStart is the home's clock, for stamps.
+// SinceStart returns the time since the Book was created. Stamps of keys count its minutes.
 func (b *Book) SinceStart() time.Duration { return b.now().Sub(b.started) }
 
-// Claim returns the key's entry. fresh is true for the one caller that may run the request; it must call
-// Finish. An error means that nothing was recorded.
+// Claim returns the entry of the key and creates it if there is none. fresh is true only for the caller that
+// created the entry: it alone may run the request, and must then call Finish or Abandon. If Claim returns an
+// error, nothing was recorded.
 func (b *Book) Claim(workspace string, key Key, fingerprint [32]byte) (e *Entry, fresh bool, err error) {
 	if key.Stamp > int64(b.SinceStart()/time.Minute) {
 		return nil, false, ErrFuture
@@ -78,39 +79,41 @@
 		}
 		return e, false, nil
 	}
-	if err := b.admit(key.Stamp); err != nil {
+	if err := b.reserveEntry(key.Stamp); err != nil {
 		return nil, false, err
 	}
-	e = &Entry{fingerprint: fingerprint, stamp: key.Stamp, done: make(chan struct{}), size: entryBytes}
+	e = &Entry{fingerprint: fingerprint, stamp: key.Stamp, done: make(chan struct{}), size: entryOverheadBytes}
 	s.entries[id] = e
 	return e, true, nil
 }
 
-// admit refuses keys whose records may be gone, and new ones while memory is full.
-func (b *Book) admit(stamp int64) error {
+// reserveEntry reserves memory for the entry of a new key. It refuses keys whose records may have been deleted,
+// and all new keys while the memory limit is reached.
+func (b *Book) reserveEntry(stamp int64) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if stamp < b.oldest {
-		return ErrForgotten
+	if stamp < b.oldestStamp {
+		return ErrExpired
 	}
-	if b.bytes+entryBytes > maxBytes {
+	if b.bytes+entryOverheadBytes > maxRecordBytes {
 		return ErrFull
 	}
-	b.bytes += entryBytes
+	b.bytes += entryOverheadBytes
 	return nil
 }
 
-// Knows reports whether any workspace's request of that key has been claimed here and not abandoned.
-func (b *Book) Knows(key Key) bool {
+// Contains reports whether a request with this key, of any workspace, has been claimed here and its entry has been
+// neither abandoned nor swept. It compares only the unique text of the keys.
+func (b *Book) Contains(key Key) bool {
 	for i := range b.shards {
-		if b.shards[i].knows(key.Unique) {
+		if b.shards[i].contains(key.Unique) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *shard) knows(unique string) bool {
+func (s *shard) contains(unique string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.entries {
@@ -121,9 +124,10 @@
 	return false
 }
 
-// Finish records how the claimed request ended and wakes those that wait for it.
-func (b *Book) Finish(e *Entry, answer Stored) {
-	if len(answer.Body) > MaxStoredBody || !b.keep(len(answer.Body)) {
+// Finish stores the outcome of the claimed request and wakes the callers that wait for it. A body that is larger
+// than MaxStoredBody or exceeds the memory limit is not stored.
+func (b *Book) Finish(e *Entry, answer StoredAnswer) {
+	if len(answer.Body) > MaxStoredBody || !b.reserveBody(len(answer.Body)) {
 		answer.Body, answer.Complete = nil, false
 	}
 	e.size += len(answer.Body)
@@ -131,17 +135,17 @@
 	close(e.done)
 }
 
-func (b *Book) keep(size int) bool {
+func (b *Book) reserveBody(size int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.bytes+size > maxBytes {
+	if b.bytes+size > maxRecordBytes {
 		return false
 	}
 	b.bytes += size
 	return true
 }
 
-// Abandon forgets a claimed request that certainly did not run, so that it can be sent again.
+// Abandon deletes the entry of a claimed request that certainly did not run, so that it can be sent again.
 func (b *Book) Abandon(workspace string, key Key, e *Entry) {
 	id := workspace + "\x00" + key.Unique
 	s := &b.shards[xxhash.Sum64String(id)%shardCount]
@@ -151,20 +155,20 @@
 	b.mu.Lock()
 	b.bytes -= e.size
 	b.mu.Unlock()
-	e.answer = Stored{Verdict: verdict.NotRun}
+	e.answer = StoredAnswer{Verdict: verdict.NotRun}
 	close(e.done)
 }
 
-// Sweep forgets the keys that are past their retention. From the moment a stamp's records may go, keys of
-// that stamp are refused as forgotten.
+// Sweep deletes the entries of finished requests whose retention has passed. Before it deletes the first entry
+// with a stamp, it makes Claim refuse new claims with that stamp, so a deleted key cannot be claimed again.
 func (b *Book) Sweep() {
-	oldest := int64(b.SinceStart()/time.Minute) - retention
+	oldest := int64(b.SinceStart()/time.Minute) - retentionMinutes
 	if oldest <= 0 {
 		return
 	}
 	b.mu.Lock()
-	b.oldest = max(b.oldest, oldest)
-	oldest = b.oldest
+	b.oldestStamp = max(b.oldestStamp, oldest)
+	oldest = b.oldestStamp
 	b.mu.Unlock()
 	freed := 0
 	for i := range b.shards {
@@ -183,7 +187,7 @@
 		select {
 		case <-e.done:
 		default:
-			continue // still running: kept however old
+			continue // the request is still running: its entry is kept regardless of age
 		}
 		if e.stamp < oldest {
 			freed += e.size
--- a/internal/once/book_test.go
+++ b/internal/once/book_test.go
@@ -14,30 +14,30 @@
 	"moorrun.dev/moorrun/internal/verdict"
 )
 
-func TestAKeyIsFreshAtMostOnce(t *testing.T) {
+func TestClaimIsFreshAtMostOncePerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		book := once.NewBook(func() time.Time { return now })
-		ran := map[string]int{}
-		open := map[string]*once.Entry{}
+		freshClaims := map[string]int{}
+		unfinished := map[string]*once.Entry{}
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "seconds")) * time.Second)
 			stamp := rapid.Int64Range(0, int64(book.SinceStart()/time.Minute)).Draw(t, "stamp")
 			key := once.Key{VM: "v", Incarnation: "i", Stamp: stamp, Unique: fmt.Sprint(stamp, "-", rapid.IntRange(0, 3).Draw(t, "unique"))}
 			e, fresh, err := book.Claim("w", key, [32]byte{1})
 			if fresh {
-				ran[key.Unique]++
-				open[key.Unique] = e
+				freshClaims[key.Unique]++
+				unfinished[key.Unique] = e
 			}
-			if ran[key.Unique] > 1 {
-				t.Fatalf("key %s was fresh %d times", key.Unique, ran[key.Unique])
+			if freshClaims[key.Unique] > 1 {
+				t.Fatalf("key %s was reported fresh %d times, want at most 1", key.Unique, freshClaims[key.Unique])
 			}
 			if err == nil && e == nil {
-				t.Fatal("neither an entry nor an error")
+				t.Fatal("Claim returned neither an entry nor an error")
 			}
-			if rapid.Bool().Draw(t, "finish") && open[key.Unique] != nil {
-				book.Finish(open[key.Unique], once.Stored{Status: 200, Verdict: verdict.Ran})
-				delete(open, key.Unique)
+			if rapid.Bool().Draw(t, "finish") && unfinished[key.Unique] != nil {
+				book.Finish(unfinished[key.Unique], once.StoredAnswer{Status: 200, Verdict: verdict.Ran})
+				delete(unfinished, key.Unique)
 			}
 			if rapid.Bool().Draw(t, "sweep") {
 				book.Sweep()
@@ -52,11 +52,11 @@
 	key := once.Key{VM: "v", Incarnation: "i", Stamp: 0, Unique: "u"}
 	e, _, err := book.Claim("w", key, [32]byte{})
 	qt.Assert(t, err, qt.IsNil)
-	book.Finish(e, once.Stored{Verdict: verdict.Ran})
+	book.Finish(e, once.StoredAnswer{Verdict: verdict.Ran})
 	now = now.Add(time.Hour)
 	book.Sweep()
 	_, _, err = book.Claim("w", key, [32]byte{})
-	qt.Assert(t, errors.Is(err, once.ErrForgotten), qt.IsTrue)
+	qt.Assert(t, errors.Is(err, once.ErrExpired), qt.IsTrue)
 	_, _, err = book.Claim("w", once.Key{Stamp: 1 << 40, Unique: "f"}, [32]byte{})
 	qt.Assert(t, errors.Is(err, once.ErrFuture), qt.IsTrue)
 }
@@ -68,7 +68,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		k, err := once.ParseKey(text)
 		if err == nil && (k.VM == "" || k.Unique == "" || k.Stamp < 0) {
-			t.Fatalf("%q gave %+v", text, k)
+			t.Fatalf("ParseKey(%q) accepted an invalid key: %+v", text, k)
 		}
 	})
 }
--- a/internal/once/entry.go
+++ b/internal/once/entry.go
@@ -2,26 +2,26 @@
 
 import "moorrun.dev/moorrun/internal/verdict"
 
-// Stored is a finished answer kept for a request that is sent again.
-type Stored struct {
+// StoredAnswer is the outcome of a finished request, kept for later sends of it.
+type StoredAnswer struct {
 	Status      int
 	ContentType string
-	Body        []byte // nil when it was too large to keep
-	Complete    bool   // Body is the whole body
+	Body        []byte // nil if it was too large to store
+	Complete    bool   // whether Body is the complete body
 	Verdict     verdict.Verdict
 }
 
-// Entry is the record of one key.
+// Entry is the record of one key: its request and, once that has finished, the outcome.
 type Entry struct {
 	fingerprint [32]byte
 	stamp       int64
 	done        chan struct{}
-	answer      Stored
+	answer      StoredAnswer
 	size        int
 }
 
-// Wait returns a channel that is closed when the request has finished.
-func (e *Entry) Wait() <-chan struct{} { return e.done }
+// Done returns a channel that is closed when the request has been finished or abandoned.
+func (e *Entry) Done() <-chan struct{} { return e.done }
 
-// Answer returns what the request ended with; call it after Wait's channel is closed.
-func (e *Entry) Answer() Stored { return e.answer }
+// Answer returns the outcome of the request. Call it only after the channel from Done is closed.
+func (e *Entry) Answer() StoredAnswer { return e.answer }
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Key is an idempotency key. It names its home, the one process that may run its request, so no two
-// processes can ever differ about who that is, whatever they think of each other.
+// Key is an idempotency key. It names its home, the only process that may run its request, so processes always
+// agree on the home, whatever each of them knows about the others.
 //
-// Its text is VM/INCARNATION/STAMP/UNIQUE. The stamp counts minutes on the home's own clock.
+// Its text is VM/INCARNATION/STAMP/UNIQUE. The stamp is the time at which the home issued the prefix, in minutes
+// since the start of the home and on its own clock.
 type Key struct {
 	VM          string
 	Incarnation string
@@ -24,10 +25,10 @@
 	maxKeyLength = 256
 )
 
-// ErrKey is returned for a text that is no key.
+// ErrKey is returned for text that is not a valid key.
 var ErrKey = errors.New("the Idempotency-Key must be a prefix from POST /v1/keys, a slash and a unique text of your own")
 
-// ParseKey parses the text of a key.
+// ParseKey parses the text form of a key.
 func ParseKey(text string) (Key, error) {
 	parts := strings.SplitN(text, "/", keyFields)
 	if len(text) > maxKeyLength || len(parts) != keyFields || parts[0] == "" || parts[3] == "" {
@@ -40,7 +41,8 @@
 	return Key{parts[0], parts[1], stamp, parts[3]}, nil
 }
 
-// Prefix returns the part of a key that its home hands out at a time since its start.
+// Prefix returns the part of a key that its home issues: all but the unique text and the slash before it.
+// sinceStart is the time since the start of the home.
 func Prefix(vm, incarnation string, sinceStart time.Duration) string {
 	return fmt.Sprintf("%s/%s/%d", vm, incarnation, int64(sinceStart/time.Minute))
 }
