--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -74,7 +74,7 @@
 func (s *Server) completeWithRetries(c *call, model config.ModelOf, r completionRequest) *failure {
 	avoid := ""
 	for {
-		if left := s.Router.PauseLeft(model.Name, clock.Now()); left > c.remaining() {
+		if left := s.Router.RemainingPause(model.Name, clock.Now()); left > c.remaining() {
 			return unavailable("each replica group of the model has asked for a pause", left)
 		}
 		a, f := s.acquirePlace(c, admission.Request{
@@ -105,10 +105,10 @@
 func (s *Server) recordFailure(a *attempt, err error) {
 	var refusal *refusalError
 	if errors.As(err, &refusal) && refusal.retryAfter > 0 {
-		s.Router.AskedToPause(a.target.Group, a.target.Birth, refusal.retryAfter)
+		s.Router.RecordPause(a.target.Group, a.target.Birth, refusal.retryAfter)
 		return
 	}
-	s.Router.Failed(a.target.Group, a.target.Birth)
+	s.Router.RecordFailure(a.target.Group, a.target.Birth)
 }
 
 // refusalError reports that an engine answered that it will not run the request.
@@ -162,7 +162,7 @@
 	request.Header.Set(deadlineHeader, strconv.FormatInt(max(1, c.remaining().Milliseconds()), 10))
 	request.SetBodyRaw(c.ctx.PostBody())
 	a.sentAt = clock.Now()
-	until := s.Router.WholeUntil(a.target)
+	until := s.Router.AllPresentUntil(a.target)
 	if !s.Checker.Hold(invariant.WholeGroup, a.sentAt.Before(until), func() []any {
 		return []any{"group", a.target.Group, "request_id", c.id, "whole_until", until}
 	}) {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -164,11 +164,11 @@
 		err := s.sendPlain(p, endpoint)
 		place.Release(err == nil)
 		if err == nil {
-			s.Services.Succeeded(endpoint.Name)
+			s.Services.RecordSuccess(endpoint.Name)
 			s.Burn.Record(p.workspace, p.name, burn.Outcome{Failed: p.ctx.Response.StatusCode() >= fasthttp.StatusInternalServerError, Latency: clock.Since(p.started)})
 			return nil
 		}
-		s.Services.Failed(endpoint.Name, clock.Now())
+		s.Services.RecordFailure(endpoint.Name, clock.Now())
 		avoid = endpoint.Name
 		v := verdict.Of(err)
 		retry := (v == verdict.NotRun || p.repeatable) && p.remaining() > 0 && s.budget.tryTake()
@@ -187,7 +187,7 @@
 func (s *Server) acquireEndpoint(p *plainCall, avoid string) (config.Endpoint, *admission.Place, *failure) {
 	pool := routing.ServicePool(p.workspace, p.name)
 	for {
-		if left := s.Services.PauseLeft(pool, clock.Now()); left > p.remaining() {
+		if left := s.Services.RemainingPause(pool, clock.Now()); left > p.remaining() {
 			return config.Endpoint{}, nil, unavailable("each endpoint of the service has asked for a pause", left)
 		}
 		if len(s.Services.Endpoints(pool)) == 0 {
@@ -229,7 +229,7 @@
 	}
 	defer answer.Close() //nolint:errcheck // the answer has been read completely
 	if pause := requestedPause(answer); pause > 0 {
-		s.Services.AskedToPause(endpoint.Name, clock.Now().Add(pause))
+		s.Services.RecordPause(endpoint.Name, clock.Now().Add(pause))
 	}
 	return s.relayPlainAnswer(p, answer)
 }
--- a/internal/entry/stream_body.go
+++ b/internal/entry/stream_body.go
@@ -99,7 +99,7 @@
 			return err
 		}
 		now = clock.Now()
-		allPresent := now.Before(b.server.Router.WholeUntil(b.attempt.target))
+		allPresent := now.Before(b.server.Router.AllPresentUntil(b.attempt.target))
 		if !allPresent || now.Sub(since) > maxSilence || now.After(b.attempt.call.deadline) {
 			return err
 		}
@@ -142,7 +142,7 @@
 
 func (b *streamBody) abort(err error) error {
 	b.server.metrics.cutStreams.Inc(1)
-	b.server.Router.Failed(b.attempt.target.Group, b.attempt.target.Birth)
+	b.server.Router.RecordFailure(b.attempt.target.Group, b.attempt.target.Birth)
 	_ = level.Warn(b.server.Logger).Log("msg", "answer truncated", "request_id", b.attempt.call.id,
 		"group", b.attempt.target.Group, "err", err)
 	b.errorEvent = bytes.NewReader(nil)
@@ -181,7 +181,7 @@
 		outcome.FirstToken = b.firstReadAt.Sub(a.call.started)
 		s.metrics.firstToken.Record(outcome.FirstToken)
 		if b.completed {
-			s.Router.Succeeded(a.target.Group, a.target.Birth, b.firstReadAt.Sub(a.sentAt), clock.Since(a.sentAt))
+			s.Router.RecordSuccess(a.target.Group, a.target.Birth, b.firstReadAt.Sub(a.sentAt), clock.Since(a.sentAt))
 		}
 	}
 	s.metrics.streamEvents.Inc(b.events)
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -6,12 +6,13 @@
 	"moorrun.dev/moorrun/internal/allocator"
 )
 
-// leftAlone returns those that have asked for a pause, and those that keep failing unless more than half of the rest do.
-func leftAlone(refs []allocator.Ref, of func(allocator.Ref) *health, now time.Time) []allocator.Ref {
+// ejectedRefs returns the refs that have requested a pause, and those that are ejected for failures unless these
+// are more than half of the refs without a pause.
+func ejectedRefs(refs []allocator.Ref, of func(allocator.Ref) *health, now time.Time) []allocator.Ref {
 	var paused, failing []allocator.Ref
 	for _, ref := range refs {
 		switch h := of(ref); {
-		case h.pauseLeft(now) > 0:
+		case h.remainingPause(now) > 0:
 			paused = append(paused, ref)
 		case h.isEjected(now):
 			failing = append(failing, ref)
@@ -23,11 +24,12 @@
 	return append(paused, failing...)
 }
 
-// leastPause returns how long until the first pause ends, zero if one of them has none.
-func leastPause(all []*health, now time.Time) time.Duration {
+// shortestPause returns the time until the first pause ends, or zero if one of the groups or endpoints is not
+// paused.
+func shortestPause(all []*health, now time.Time) time.Duration {
 	least := time.Duration(0)
 	for _, h := range all {
-		left := h.pauseLeft(now)
+		left := h.remainingPause(now)
 		if left == 0 {
 			return 0
 		}
--- a/internal/routing/health.go
+++ b/internal/routing/health.go
@@ -8,69 +8,71 @@
 )
 
 const (
-	// ejectAfter is how many failures in a row take a group out of this node's choice.
-	ejectAfter = 2
-	ejectBase  = 2 * time.Second
-	ejectMost  = 30 * time.Second
+	// ejectAfterFailures is the number of consecutive failures after which this node ejects a group.
+	ejectAfterFailures = 2
+	minEjection        = 2 * time.Second
+	maxEjection        = 30 * time.Second
 )
 
-// health is what this node has seen of one group itself.
+// health is what this node itself has observed of one group or endpoint.
 type health struct {
-	mu       sync.Mutex
-	failures int             // in a row
-	ejected  time.Time       // until then
-	paused   time.Time       // end of the pause that it has asked for
-	taken    allocator.Speed // sums since they were last taken
+	mu           sync.Mutex
+	failures     int             // number of consecutive failures
+	ejectedUntil time.Time       // end of the ejection for failures
+	pausedUntil  time.Time       // end of the pause that the group has requested
+	speed        allocator.Speed // sums since the last takeSpeed
 }
 
-// fail counts a failure; each further one in a row doubles how long the group is left alone.
-func (h *health) fail(now time.Time) {
+// recordFailure counts a failure. From ejectAfterFailures consecutive failures on it ejects the group, for twice
+// as long after each further one, up to maxEjection.
+func (h *health) recordFailure(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures++
-	if h.failures >= ejectAfter {
-		wait := ejectBase << min(h.failures-ejectAfter, 10)
-		h.ejected = now.Add(min(wait, ejectMost))
+	if h.failures >= ejectAfterFailures {
+		wait := minEjection << min(h.failures-ejectAfterFailures, 10)
+		h.ejectedUntil = now.Add(min(wait, maxEjection))
 	}
 }
 
-// pause leaves the group alone until then, as it has asked for.
-func (h *health) pause(until time.Time) {
+// recordPause stops the use of the group until the given time, as the group has requested. A pause that ends later
+// stays in force.
+func (h *health) recordPause(until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if until.After(h.paused) {
-		h.paused = until
+	if until.After(h.pausedUntil) {
+		h.pausedUntil = until
 	}
 }
 
-// pauseLeft returns what is left of the group's pause, zero if it has none.
-func (h *health) pauseLeft(now time.Time) time.Duration {
+// remainingPause returns the time until the group's pause ends, zero if it has none.
+func (h *health) remainingPause(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return max(0, h.paused.Sub(now))
+	return max(0, h.pausedUntil.Sub(now))
 }
 
-func (h *health) succeed(firstToken, service time.Duration) {
+func (h *health) recordSuccess(firstToken, service time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures = 0
-	h.ejected = time.Time{}
-	h.taken.Requests++
-	h.taken.FirstToken += firstToken
-	h.taken.Service += service
+	h.ejectedUntil = time.Time{}
+	h.speed.Requests++
+	h.speed.FirstToken += firstToken
+	h.speed.Service += service
 }
 
 func (h *health) isEjected(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return now.Before(h.ejected)
+	return now.Before(h.ejectedUntil)
 }
 
-// take returns the sums and starts new ones.
-func (h *health) take() allocator.Speed {
+// takeSpeed returns the sums and resets them.
+func (h *health) takeSpeed() allocator.Speed {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := h.taken
-	h.taken = allocator.Speed{}
+	out := h.speed
+	h.speed = allocator.Speed{}
 	return out
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,4 +1,5 @@
-// Package routing knows the replica groups that requests may be sent to now.
+// Package routing determines to which replica groups and endpoints of plain services, which serve no model,
+// requests may be sent now.
 package routing
 
 import (
@@ -14,20 +15,21 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// tableFor is how long a built table is used; evidence is checked at each use all the same.
-const tableFor = 50 * time.Millisecond
+// tableLifetime is how long a table is reused before it is rebuilt. The evidence that a group's VMs are present is
+// nevertheless checked at each use.
+const tableLifetime = 50 * time.Millisecond
 
-// Router finds targets.
+// Router selects the replica groups that requests may be sent to.
 type Router struct {
-	drains  *drains.Book
-	book    *domains.Book
-	looks   *evidence.Table
-	current func() *config.Config
+	drains      *drains.Book
+	assignments *domains.Book
+	evidence    *evidence.Table
+	current     func() *config.Config
 
-	mu     sync.Mutex
-	built  time.Time
-	table  *table
-	health map[targetKey]*health
+	mu      sync.Mutex
+	builtAt time.Time
+	table   *table
+	health  map[targetKey]*health
 }
 
 type targetKey struct {
@@ -35,28 +37,28 @@
 	birth int64
 }
 
-// table is one reading of all assignments.
+// table holds the targets from one reading of all assignments.
 type table struct {
 	byKey   map[targetKey]Target
 	byModel map[string][]Target
 }
 
-// New returns a Router over what the node knows.
-func New(d *drains.Book, book *domains.Book, looks *evidence.Table, current func() *config.Config) *Router {
-	return &Router{drains: d, book: book, looks: looks, current: current, health: make(map[targetKey]*health)}
+// New returns a Router over the drains, the assignments, the evidence and the configuration that the node has.
+func New(d *drains.Book, assignmentBook *domains.Book, evidenceTable *evidence.Table, current func() *config.Config) *Router {
+	return &Router{drains: d, assignments: assignmentBook, evidence: evidenceTable, current: current, health: make(map[targetKey]*health)}
 }
 
-// Target returns the target of a group if it may be used now.
+// Target returns the target of a group and whether requests may be sent to it now.
 func (r *Router) Target(group string, birth int64, now time.Time) (Target, bool) {
-	t, ok := r.read(now).byKey[targetKey{group, birth}]
-	return t, ok && r.live(t, now)
+	t, ok := r.currentTable(now).byKey[targetKey{group, birth}]
+	return t, ok && r.allPresent(t, now)
 }
 
-// Groups returns the model's targets; those that may not be used now have no places.
+// Groups returns the model's targets. Those that may not be used now have zero Places.
 func (r *Router) Groups(model string, now time.Time) []Target {
 	var out []Target
-	for _, t := range r.read(now).byModel[model] {
-		if !r.live(t, now) {
+	for _, t := range r.currentTable(now).byModel[model] {
+		if !r.allPresent(t, now) {
 			t.Places = 0
 		}
 		out = append(out, t)
@@ -64,18 +66,19 @@
 	return out
 }
 
-// WholeUntil returns until when evidence says that all the target's VMs are present, zero for no evidence.
-func (r *Router) WholeUntil(t Target) time.Time {
-	g, ok := r.looks.Group(t.Domain, t.Group, t.Birth)
+// AllPresentUntil returns the time until which there is evidence that all VMs of the target are present, or the
+// zero time if there is no evidence.
+func (r *Router) AllPresentUntil(t Target) time.Time {
+	g, ok := r.evidence.Group(t.Domain, t.Group, t.Birth)
 	if !ok {
 		return time.Time{}
 	}
 	return g.Expires
 }
 
-// live reports whether evidence says that all the group's VMs are present.
-func (r *Router) live(t Target, now time.Time) bool {
-	return now.Before(r.WholeUntil(t))
+// allPresent reports whether there is evidence that all VMs of the group are present.
+func (r *Router) allPresent(t Target, now time.Time) bool {
+	return now.Before(r.AllPresentUntil(t))
 }
 
 // Usable implements admission.Chooser.
@@ -84,21 +87,21 @@
 	return ok
 }
 
-// Ejected implements admission.Chooser: groups that keep failing this node's requests are left alone for a
-// while, unless more than half of the model's groups do, and those that have asked for a pause in any case.
+// Ejected implements admission.Chooser. It returns the groups that have requested a pause, and those that keep
+// failing requests of this node unless more than half of the model's groups without a pause do.
 func (r *Router) Ejected(model string, now time.Time) []allocator.Ref {
 	var refs []allocator.Ref
-	for _, t := range r.read(now).byModel[model] {
+	for _, t := range r.currentTable(now).byModel[model] {
 		refs = append(refs, allocator.Ref{Group: t.Group, Birth: t.Birth})
 	}
-	return leftAlone(refs, func(ref allocator.Ref) *health { return r.of(ref.Group, ref.Birth) }, now)
+	return ejectedRefs(refs, func(ref allocator.Ref) *health { return r.healthOf(ref.Group, ref.Birth) }, now)
 }
 
 // TakeSpeeds implements admission.Chooser.
 func (r *Router) TakeSpeeds(model string, now time.Time) []allocator.Speed {
 	var out []allocator.Speed
-	for _, t := range r.read(now).byModel[model] {
-		s := r.of(t.Group, t.Birth).take()
+	for _, t := range r.currentTable(now).byModel[model] {
+		s := r.healthOf(t.Group, t.Birth).takeSpeed()
 		if s.Requests > 0 {
 			s.Group, s.Birth = t.Group, t.Birth
 			out = append(out, s)
@@ -107,31 +110,34 @@
 	return out
 }
 
-// Failed notes that the group failed a request.
-func (r *Router) Failed(group string, birth int64) { r.of(group, birth).fail(clock.Now()) }
+// RecordFailure records that the group failed a request.
+func (r *Router) RecordFailure(group string, birth int64) {
+	r.healthOf(group, birth).recordFailure(clock.Now())
+}
 
-// AskedToPause notes that the group has asked this node for a pause of that length.
-func (r *Router) AskedToPause(group string, birth int64, pause time.Duration) {
-	r.of(group, birth).pause(clock.Now().Add(pause))
+// RecordPause records that the group has requested a pause of the given length from this node.
+func (r *Router) RecordPause(group string, birth int64, pause time.Duration) {
+	r.healthOf(group, birth).recordPause(clock.Now().Add(pause))
 }
 
-// PauseLeft returns how long until the first pause ends, if all of the model's usable groups have asked for one, and else zero.
-func (r *Router) PauseLeft(model string, now time.Time) time.Duration {
+// RemainingPause returns the time until the first pause ends if all usable groups of the model have requested one,
+// and zero otherwise.
+func (r *Router) RemainingPause(model string, now time.Time) time.Duration {
 	var usable []*health
-	for _, t := range r.read(now).byModel[model] {
-		if r.live(t, now) {
-			usable = append(usable, r.of(t.Group, t.Birth))
+	for _, t := range r.currentTable(now).byModel[model] {
+		if r.allPresent(t, now) {
+			usable = append(usable, r.healthOf(t.Group, t.Birth))
 		}
 	}
-	return leastPause(usable, now)
+	return shortestPause(usable, now)
 }
 
-// Succeeded notes how long the group took to its first token and in all.
-func (r *Router) Succeeded(group string, birth int64, firstToken, service time.Duration) {
-	r.of(group, birth).succeed(firstToken, service)
+// RecordSuccess records how long the group took to answer a request, until the first token and in total.
+func (r *Router) RecordSuccess(group string, birth int64, firstToken, service time.Duration) {
+	r.healthOf(group, birth).recordSuccess(firstToken, service)
 }
 
-func (r *Router) of(group string, birth int64) *health {
+func (r *Router) healthOf(group string, birth int64) *health {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := targetKey{group, birth}
@@ -143,13 +149,13 @@
 	return h
 }
 
-func (r *Router) read(now time.Time) *table {
+func (r *Router) currentTable(now time.Time) *table {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.table != nil && now.Sub(r.built) < tableFor {
+	if r.table != nil && now.Sub(r.builtAt) < tableLifetime {
 		return r.table
 	}
-	r.table, r.built = r.build(), now
+	r.table, r.builtAt = r.buildTable(), now
 	for key := range r.health {
 		if _, ok := r.table.byKey[key]; !ok {
 			delete(r.health, key)
@@ -158,14 +164,14 @@
 	return r.table
 }
 
-func (r *Router) build() *table {
+func (r *Router) buildTable() *table {
 	t := &table{byKey: make(map[targetKey]Target), byModel: make(map[string][]Target)}
 	c := r.current()
 	if c == nil {
 		return t
 	}
 	drained := r.drains.Read()
-	for _, a := range r.book.All() {
+	for _, a := range r.assignments.All() {
 		d, ok := c.Domains()[a.Domain]
 		if !ok {
 			continue
--- a/internal/routing/services.go
+++ b/internal/routing/services.go
@@ -10,31 +10,35 @@
 	"moorrun.dev/moorrun/internal/drains"
 )
 
-// servicePools begins the names of the pools of plain services; names of models hold no slash.
-const servicePools = "service/"
-
-// ServicePool names the pool of a plain service, whose endpoints' places are allocated like those of a model's groups.
-func ServicePool(workspace, service string) string { return servicePools + workspace + "/" + service }
+// servicePoolPrefix is the prefix of the pool names of plain services. It differs from every model name, as these
+// contain no slash.
+const servicePoolPrefix = "service/"
+
+// ServicePool returns the pool name of a plain service. The places of its endpoints are allocated like those of a
+// model's groups.
+func ServicePool(workspace, service string) string {
+	return servicePoolPrefix + workspace + "/" + service
+}
 
-// IsServicePool reports whether a pool is that of a plain service.
-func IsServicePool(pool string) bool { return strings.HasPrefix(pool, servicePools) }
+// IsServicePool reports whether pool is the pool name of a plain service.
+func IsServicePool(pool string) bool { return strings.HasPrefix(pool, servicePoolPrefix) }
 
-// Services knows the endpoints of plain services that requests may be sent to now. It implements admission.Chooser: an endpoint
-// stands for a group of one, which has no births.
+// Services determines the endpoints of plain services that requests may be sent to now. It implements
+// admission.Chooser: an endpoint is treated as a group with one member and without births.
 type Services struct {
 	drains  *drains.Book
 	current func() *config.Config
 
 	mu     sync.Mutex
-	health map[string]*health // by endpoint
+	health map[string]*health // by endpoint name
 }
 
-// NewServices returns Services over what the node knows.
+// NewServices returns Services over the drains and the configuration that the node has.
 func NewServices(d *drains.Book, current func() *config.Config) *Services {
 	return &Services{drains: d, current: current, health: make(map[string]*health)}
 }
 
-// Endpoint returns an endpoint if it may be used now.
+// Endpoint returns an endpoint and whether requests may be sent to it now.
 func (s *Services) Endpoint(name string) (config.Endpoint, bool) {
 	c := s.current()
 	if c == nil || s.drains.Read().Has(name) {
@@ -43,9 +47,9 @@
 	return c.Endpoint(name)
 }
 
-// Endpoints returns those of a pool's endpoints that are not drained.
+// Endpoints returns the endpoints of a pool that are not drained.
 func (s *Services) Endpoints(pool string) []config.Endpoint {
-	workspace, name, _ := strings.Cut(strings.TrimPrefix(pool, servicePools), "/")
+	workspace, name, _ := strings.Cut(strings.TrimPrefix(pool, servicePoolPrefix), "/")
 	c := s.current()
 	if c == nil {
 		return nil
@@ -70,37 +74,43 @@
 	return ok
 }
 
-// Ejected implements admission.Chooser as Router.Ejected does.
+// Ejected implements admission.Chooser by the same rule as Router.Ejected.
 func (s *Services) Ejected(pool string, now time.Time) []allocator.Ref {
 	var refs []allocator.Ref
 	for _, e := range s.Endpoints(pool) {
 		refs = append(refs, allocator.Ref{Group: e.Name})
 	}
-	return leftAlone(refs, func(ref allocator.Ref) *health { return s.of(ref.Group) }, now)
+	return ejectedRefs(refs, func(ref allocator.Ref) *health { return s.healthOf(ref.Group) }, now)
 }
 
-// TakeSpeeds implements admission.Chooser; the calls of a plain service are too unlike for their endpoints to be compared.
+// TakeSpeeds implements admission.Chooser. It returns nothing, because the calls of a plain service differ too much
+// for their durations to say which endpoint is faster.
 func (s *Services) TakeSpeeds(string, time.Time) []allocator.Speed { return nil }
 
-// Succeeded notes that the endpoint has answered.
-func (s *Services) Succeeded(endpoint string) { s.of(endpoint).succeed(0, 0) }
+// RecordSuccess records that the endpoint has answered.
+func (s *Services) RecordSuccess(endpoint string) { s.healthOf(endpoint).recordSuccess(0, 0) }
 
-// Failed notes that the endpoint failed a request.
-func (s *Services) Failed(endpoint string, now time.Time) { s.of(endpoint).fail(now) }
+// RecordFailure records that the endpoint failed a request.
+func (s *Services) RecordFailure(endpoint string, now time.Time) {
+	s.healthOf(endpoint).recordFailure(now)
+}
 
-// AskedToPause notes that the endpoint has asked this node for a pause until then.
-func (s *Services) AskedToPause(endpoint string, until time.Time) { s.of(endpoint).pause(until) }
+// RecordPause records that the endpoint has requested a pause from this node until the given time.
+func (s *Services) RecordPause(endpoint string, until time.Time) {
+	s.healthOf(endpoint).recordPause(until)
+}
 
-// PauseLeft returns how long until the first pause ends, if all of the pool's endpoints have asked for one, and else zero.
-func (s *Services) PauseLeft(pool string, now time.Time) time.Duration {
+// RemainingPause returns the time until the first pause ends if all endpoints of the pool that are not drained have
+// requested one, and zero otherwise.
+func (s *Services) RemainingPause(pool string, now time.Time) time.Duration {
 	var all []*health
 	for _, e := range s.Endpoints(pool) {
-		all = append(all, s.of(e.Name))
+		all = append(all, s.healthOf(e.Name))
 	}
-	return leastPause(all, now)
+	return shortestPause(all, now)
 }
 
-func (s *Services) of(endpoint string) *health {
+func (s *Services) healthOf(endpoint string) *health {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h, ok := s.health[endpoint]
--- a/internal/routing/services_test.go
+++ b/internal/routing/services_test.go
@@ -17,7 +17,8 @@
 
 const pool = "service/gifts/receipts"
 
-// newServices returns the endpoints a, b and c of one service.
+// newServices returns Services for one service with the endpoints a, b and c, and the mirror that its drains are
+// read from.
 func newServices() (*routing.Services, *mirror.Mirror) {
 	workspace := &config.Workspace{Name: "gifts", Services: []config.Service{{Name: "receipts", Endpoints: []config.Endpoint{{Name: "a"}, {Name: "b", Places: 16}, {Name: "c"}}}}}
 	c := config.New(1, config.Set{config.WorkspacePart("gifts"): {Workspace: workspace}})
@@ -33,7 +34,7 @@
 	return out
 }
 
-func TestServiceHasTheEndpointsThatAreNotDrained(t *testing.T) {
+func TestDrainedEndpointsAreNotUsable(t *testing.T) {
 	s, m := newServices()
 	qt.Check(t, routing.ServicePool("gifts", "receipts"), qt.Equals, pool)
 	qt.Check(t, s.Endpoints(pool), qt.HasLen, 3)
@@ -45,33 +46,33 @@
 	qt.Check(t, s.Usable("d", 0, time.Now()), qt.IsFalse)
 }
 
-func TestEndpointsAreLeftAloneThatAskedForAPause(t *testing.T) {
+func TestEndpointsThatRequestedAPauseAreEjected(t *testing.T) {
 	s, _ := newServices()
 	now := time.Unix(1000, 0)
-	s.AskedToPause("a", now.Add(time.Minute))
-	s.AskedToPause("a", now.Add(time.Second)) // the longer one holds on
+	s.RecordPause("a", now.Add(time.Minute))
+	s.RecordPause("a", now.Add(time.Second)) // the pause that ends later stays in force
 	qt.Check(t, names(s.Ejected(pool, now.Add(30*time.Second))), qt.DeepEquals, []string{"a"})
-	qt.Check(t, s.PauseLeft(pool, now), qt.Equals, time.Duration(0))
-	s.AskedToPause("b", now.Add(30*time.Second))
-	s.AskedToPause("c", now.Add(40*time.Second))
-	qt.Check(t, s.PauseLeft(pool, now), qt.Equals, 30*time.Second)
+	qt.Check(t, s.RemainingPause(pool, now), qt.Equals, time.Duration(0))
+	s.RecordPause("b", now.Add(30*time.Second))
+	s.RecordPause("c", now.Add(40*time.Second))
+	qt.Check(t, s.RemainingPause(pool, now), qt.Equals, 30*time.Second)
 	qt.Check(t, names(s.Ejected(pool, now)), qt.DeepEquals, []string{"a", "b", "c"})
 	qt.Check(t, names(s.Ejected(pool, now.Add(time.Minute))), qt.HasLen, 0)
-	qt.Check(t, s.PauseLeft("service/gifts/other", now), qt.Equals, time.Duration(0))
+	qt.Check(t, s.RemainingPause("service/gifts/other", now), qt.Equals, time.Duration(0))
 }
 
-func TestEndpointsThatKeepFailingAreLeftAloneAsLongAsOthersServe(t *testing.T) {
+func TestFailingEndpointsAreEjectedUnlessMostFail(t *testing.T) {
 	s, _ := newServices()
 	now := time.Unix(1000, 0)
 	fail := func(name string) {
 		for range 3 {
-			s.Failed(name, now)
+			s.RecordFailure(name, now)
 		}
 	}
 	fail("a")
 	qt.Check(t, names(s.Ejected(pool, now)), qt.DeepEquals, []string{"a"})
 	fail("b")
-	qt.Check(t, names(s.Ejected(pool, now)), qt.HasLen, 0, qt.Commentf("most of them fail: better than nothing"))
-	s.Succeeded("b")
+	qt.Check(t, names(s.Ejected(pool, now)), qt.HasLen, 0, qt.Commentf("none is ejected while most of them fail, as some endpoint must serve the requests"))
+	s.RecordSuccess("b")
 	qt.Check(t, names(s.Ejected(pool, now)), qt.DeepEquals, []string{"a"})
 }
