--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -11,7 +11,7 @@
 	"moorrun.dev/moorrun/internal/verdict"
 )
 
-// correctVerdict changes the verdict "not run" for a request with an idempotency key to "may have run", unless
+// correctVerdict changes the verdict "not run" for a request with a valid idempotency key to "may have run", unless
 // this process is the key's home and has no record of the key. An earlier send of the request may have run, and
 // only the key's home knows.
 func (s *Server) correctVerdict(ctx *fasthttp.RequestCtx, f *failure) {
