--- a/internal/cmd/cmd_which.go
+++ b/internal/cmd/cmd_which.go
@@ -43,8 +43,8 @@
 	},
 }
 
-func (c *Client) which(addresses []string) (entry.Which, error) {
-	var answer entry.Which
+func (c *Client) which(addresses []string) (entry.AddressList, error) {
+	var answer entry.AddressList
 	var errs []error
 	for _, address := range addresses {
 		r, err := c.callNode(address, fasthttp.MethodGet, "/v1/which", nil)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -52,7 +52,7 @@
 	ServiceAdmission *admission.Admission
 	Calls            *httpcall.Client
 	Engine           infra.Engine
-	Once             *once.Book
+	Once             *once.ClaimStore
 	Burn             *burn.Recorder
 	Checker          *invariant.Checker
 	Scope            tally.Scope
--- a/internal/entry/which.go
+++ b/internal/entry/which.go
@@ -12,8 +12,8 @@
 	"moorrun.dev/moorrun/internal/membership"
 )
 
-// Which is the response body of /v1/which: the addresses that a caller may use.
-type Which struct {
+// AddressList is the response body of /v1/which: the addresses that a caller may use.
+type AddressList struct {
 	Addresses  []Address `json:"addresses"`   // preferred ones first
 	LifetimeMS int64     `json:"lifetime_ms"` // how long the caller may cache the answer
 }
@@ -42,7 +42,7 @@
 	}
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	slices.SortStableFunc(live, func(a, b membership.Member) int { return dataCentreDistance(a, self) - dataCentreDistance(b, self) })
-	answer := Which{LifetimeMS: s.AddressLifetime.Milliseconds()}
+	answer := AddressList{LifetimeMS: s.AddressLifetime.Milliseconds()}
 	for _, m := range live {
 		answer.Addresses = append(answer.Addresses, Address{m.CallerAddress, m.VM, m.DataCentre})
 	}
--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -74,8 +74,8 @@
 }
 
 // Which asks an address which addresses to use.
-func (c *Caller) Which(address string) (entry.Which, error) {
-	var answer entry.Which
+func (c *Caller) Which(address string) (entry.AddressList, error) {
+	var answer entry.AddressList
 	r, _ := http.NewRequest(http.MethodGet, "http://"+address+"/v1/which", nil)
 	reply := c.do(r, false, nil)
 	if reply.Err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 	admission *admission.Admission
 	// serviceAdmission holds the requests that wait for plain services.
 	serviceAdmission *admission.Admission
-	once             *once.Book
+	once             *once.ClaimStore
 	entry            *entry.Server
 	admin            *admin.Server
 	peers            *peer.Server
@@ -123,7 +123,7 @@
 	n.admission = admission.New(n.work, asker, router)
 	n.admission.LengthOnly = s.QueuePolicy == settings.QueueFIFO
 	n.serviceAdmission = admission.New(n.work, asker, services)
-	n.once = once.NewBook(time.Now)
+	n.once = once.NewClaimStore(time.Now)
 	losses := holder.NewLossMeter()
 	n.buildHolder(book, engine, current, checker, losses)
 	recorder := burn.NewRecorder(func(workspace, service string) (config.Objective, bool) {
--- a/internal/once/book.go
+++ b/internal/once/claim_store.go
@@ -34,8 +34,8 @@
 	ErrFull    = errors.New("too many keys are remembered")
 )
 
-// Book holds the records of the keys whose home is this process.
-type Book struct {
+// ClaimStore holds the records of the keys whose home is this process.
+type ClaimStore struct {
 	started time.Time
 	now     func() time.Time
 	shards  [shardCount]shard
@@ -50,22 +50,22 @@
 	entries map[string]*Entry
 }
 
-// NewBook returns an empty Book; now returns the current time.
-func NewBook(now func() time.Time) *Book {
-	b := &Book{started: now(), now: now}
+// NewClaimStore returns an empty ClaimStore; now returns the current time.
+func NewClaimStore(now func() time.Time) *ClaimStore {
+	b := &ClaimStore{started: now(), now: now}
 	for i := range b.shards {
 		b.shards[i].entries = make(map[string]*Entry)
 	}
 	return b
 }
 
-// SinceStart returns the time since the Book was created. Stamps of keys count its minutes.
-func (b *Book) SinceStart() time.Duration { return b.now().Sub(b.started) }
+// SinceStart returns the time since the ClaimStore was created. Stamps of keys count its minutes.
+func (b *ClaimStore) SinceStart() time.Duration { return b.now().Sub(b.started) }
 
 // Claim returns the entry of the key and creates it if there is none. fresh is true only for the caller that
 // created the entry: it alone may run the request, and must then call Finish or Abandon. If Claim returns an
 // error, nothing was recorded.
-func (b *Book) Claim(workspace string, key Key, fingerprint [32]byte) (e *Entry, fresh bool, err error) {
+func (b *ClaimStore) Claim(workspace string, key Key, fingerprint [32]byte) (e *Entry, fresh bool, err error) {
 	if key.Stamp > int64(b.SinceStart()/time.Minute) {
 		return nil, false, ErrFuture
 	}
@@ -89,7 +89,7 @@
 
 // reserveEntry reserves memory for the entry of a new key. It refuses keys whose records may have been deleted,
 // and all new keys while the memory limit is reached.
-func (b *Book) reserveEntry(stamp int64) error {
+func (b *ClaimStore) reserveEntry(stamp int64) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if stamp < b.oldestStamp {
@@ -104,7 +104,7 @@
 
 // Contains reports whether a request with this key, of any workspace, has been claimed here and its entry has been
 // neither abandoned nor swept. It compares only the unique text of the keys.
-func (b *Book) Contains(key Key) bool {
+func (b *ClaimStore) Contains(key Key) bool {
 	for i := range b.shards {
 		if b.shards[i].contains(key.Unique) {
 			return true
@@ -126,7 +126,7 @@
 
 // Finish stores the outcome of the claimed request and wakes the callers that wait for it. A body that is larger
 // than MaxStoredBody or exceeds the memory limit is not stored.
-func (b *Book) Finish(e *Entry, answer StoredAnswer) {
+func (b *ClaimStore) Finish(e *Entry, answer StoredAnswer) {
 	if len(answer.Body) > MaxStoredBody || !b.reserveBody(len(answer.Body)) {
 		answer.Body, answer.Complete = nil, false
 	}
@@ -135,7 +135,7 @@
 	close(e.done)
 }
 
-func (b *Book) reserveBody(size int) bool {
+func (b *ClaimStore) reserveBody(size int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.bytes+size > maxRecordBytes {
@@ -146,7 +146,7 @@
 }
 
 // Abandon deletes the entry of a claimed request that certainly did not run, so that it can be sent again.
-func (b *Book) Abandon(workspace string, key Key, e *Entry) {
+func (b *ClaimStore) Abandon(workspace string, key Key, e *Entry) {
 	id := workspace + "\x00" + key.Unique
 	s := &b.shards[xxhash.Sum64String(id)%shardCount]
 	s.mu.Lock()
@@ -161,7 +161,7 @@
 
 // Sweep deletes the entries of finished requests whose retention has passed. Before it deletes the first entry
 // with a stamp, it makes Claim refuse new claims with that stamp, so a deleted key cannot be claimed again.
-func (b *Book) Sweep() {
+func (b *ClaimStore) Sweep() {
 	oldest := int64(b.SinceStart()/time.Minute) - retentionMinutes
 	if oldest <= 0 {
 		return
--- a/internal/once/book_test.go
+++ b/internal/once/claim_store_test.go
@@ -17,14 +17,14 @@
 func TestClaimIsFreshAtMostOncePerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		book := once.NewBook(func() time.Time { return now })
+		store := once.NewClaimStore(func() time.Time { return now })
 		freshClaims := map[string]int{}
 		unfinished := map[string]*once.Entry{}
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "seconds")) * time.Second)
-			stamp := rapid.Int64Range(0, int64(book.SinceStart()/time.Minute)).Draw(t, "stamp")
+			stamp := rapid.Int64Range(0, int64(store.SinceStart()/time.Minute)).Draw(t, "stamp")
 			key := once.Key{VM: "v", Incarnation: "i", Stamp: stamp, Unique: fmt.Sprint(stamp, "-", rapid.IntRange(0, 3).Draw(t, "unique"))}
-			e, fresh, err := book.Claim("w", key, [32]byte{1})
+			e, fresh, err := store.Claim("w", key, [32]byte{1})
 			if fresh {
 				freshClaims[key.Unique]++
 				unfinished[key.Unique] = e
@@ -36,11 +36,11 @@
 				t.Fatal("Claim returned neither an entry nor an error")
 			}
 			if rapid.Bool().Draw(t, "finish") && unfinished[key.Unique] != nil {
-				book.Finish(unfinished[key.Unique], once.StoredAnswer{Status: 200, Verdict: verdict.Ran})
+				store.Finish(unfinished[key.Unique], once.StoredAnswer{Status: 200, Verdict: verdict.Ran})
 				delete(unfinished, key.Unique)
 			}
 			if rapid.Bool().Draw(t, "sweep") {
-				book.Sweep()
+				store.Sweep()
 			}
 		}
 	})
@@ -48,16 +48,16 @@
 
 func TestKeysPastRetentionAreRefused(t *testing.T) {
 	now := time.Unix(0, 0)
-	book := once.NewBook(func() time.Time { return now })
+	store := once.NewClaimStore(func() time.Time { return now })
 	key := once.Key{VM: "v", Incarnation: "i", Stamp: 0, Unique: "u"}
-	e, _, err := book.Claim("w", key, [32]byte{})
+	e, _, err := store.Claim("w", key, [32]byte{})
 	qt.Assert(t, err, qt.IsNil)
-	book.Finish(e, once.StoredAnswer{Verdict: verdict.Ran})
+	store.Finish(e, once.StoredAnswer{Verdict: verdict.Ran})
 	now = now.Add(time.Hour)
-	book.Sweep()
-	_, _, err = book.Claim("w", key, [32]byte{})
+	store.Sweep()
+	_, _, err = store.Claim("w", key, [32]byte{})
 	qt.Assert(t, errors.Is(err, once.ErrExpired), qt.IsTrue)
-	_, _, err = book.Claim("w", once.Key{Stamp: 1 << 40, Unique: "f"}, [32]byte{})
+	_, _, err = store.Claim("w", once.Key{Stamp: 1 << 40, Unique: "f"}, [32]byte{})
 	qt.Assert(t, errors.Is(err, once.ErrFuture), qt.IsTrue)
 }
 
