--- a/internal/replica/repair.go
+++ b/internal/replica/repair.go
@@ -37,7 +37,7 @@
 func (pl *planner) waitLimit(g *Group, lost int) time.Duration {
 	reload := pl.memory.reloadTime(pl.policy)
 	if pl.warmSpares(g) >= lost {
-		reload = pl.policy.Reform
+		reload = pl.policy.WarmRecovery
 	}
 	switch pl.policy.Wait {
 	case WaitAlways:
