--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,7 +23,7 @@
 
 // Admission holds this node's queues, in one pool for each model.
 type Admission struct {
-	asker   Asker
+	asker   AllocatorClient
 	chooser Chooser
 
 	// LengthOnly bounds queues only by length, not by expected wait. It is a baseline for comparison.
@@ -36,7 +36,7 @@
 }
 
 // New returns an Admission; its reporters run until ctx ends.
-func New(ctx context.Context, asker Asker, chooser Chooser) *Admission {
+func New(ctx context.Context, asker AllocatorClient, chooser Chooser) *Admission {
 	return &Admission{asker: asker, chooser: chooser, pools: make(map[string]*pool), ctx: ctx}
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -38,8 +38,8 @@
 
 func acquire(t *testing.T, a *Admission, r Request) *Place {
 	r.Model, r.Workspace = "m", "w"
-	if r.Patience == 0 {
-		r.Patience = time.Minute
+	if r.Timeout == 0 {
+		r.Timeout = time.Minute
 	}
 	p, err := a.Acquire(context.Background(), r)
 	qt.Assert(t, err, qt.IsNil)
@@ -88,7 +88,7 @@
 	p.mu.Lock()
 	p.queues["w"].meanHold = time.Hour // as if requests kept their places for an hour on average
 	p.mu.Unlock()
-	_, err := a.Acquire(context.Background(), Request{Model: "m", Workspace: "w", Patience: time.Minute})
+	_, err := a.Acquire(context.Background(), Request{Model: "m", Workspace: "w", Timeout: time.Minute})
 	var refusal *Refusal
 	qt.Assert(t, errors.As(err, &refusal), qt.IsTrue)
 	qt.Assert(t, refusal.RetryAfter > 0, qt.IsTrue)
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	gone := make(chan error)
 	go func() {
-		_, err := a.Acquire(ctx, Request{Model: "m", Workspace: "w", Patience: time.Minute})
+		_, err := a.Acquire(ctx, Request{Model: "m", Workspace: "w", Timeout: time.Minute})
 		gone <- err
 	}()
 	waitForQueued(a, 1)
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -59,9 +59,9 @@
 	q.lastArrival = now
 	p.arrivals[r.Workspace].add(now)
 	q.demand.add(q.waiting.Len()+q.running()+1, now)
-	w := &waiter{ready: make(chan *Place, 1), avoid: r.Avoid, prefer: r.Prefer, priority: r.Priority, maxWait: r.Patience - q.meanHold}
+	w := &waiter{ready: make(chan *Place, 1), avoid: r.Avoid, prefer: r.Prefer, priority: r.Priority, maxWait: r.Timeout - q.meanHold}
 	if p.lengthOnly {
-		w.maxWait = r.Patience
+		w.maxWait = r.Timeout
 	}
 	w.onlyPreferred = r.Prefer != (allocator.Ref{}) && r.Prefer.Group != r.Avoid
 	if place := p.takePreferred(q, w, now); place != nil {
@@ -72,7 +72,7 @@
 			return place, nil, nil
 		}
 	}
-	if refusal := p.refuse(q, r.Patience, now); refusal != nil {
+	if refusal := p.refuse(q, r.Timeout, now); refusal != nil {
 		return nil, nil, refusal
 	}
 	q.push(w)
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -18,6 +18,6 @@
 	PreferWait time.Duration
 	// Priority orders the waiting requests of a workspace; the highest goes first.
 	Priority int
-	// Patience is how long the request may take, waiting included.
-	Patience time.Duration
+	// Timeout is how long the request may take, waiting included.
+	Timeout time.Duration
 }
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -125,7 +125,7 @@
 func (s *Server) acquirePlace(c *call, r admission.Request) (*attempt, *failure) {
 	since := clock.Now()
 	for {
-		r.Patience = c.remaining()
+		r.Timeout = c.remaining()
 		place, err := s.Admission.Acquire(context.Background(), r)
 		if err != nil {
 			return nil, admissionFailure(err)
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -194,7 +194,7 @@
 			return config.Endpoint{}, nil, unavailable("the service has no endpoint in use", time.Second)
 		}
 		place, err := s.ServiceAdmission.Acquire(context.Background(), admission.Request{
-			Model: pool, Workspace: p.workspace, Avoid: avoid, Patience: p.remaining(),
+			Model: pool, Workspace: p.workspace, Avoid: avoid, Timeout: p.remaining(),
 		})
 		if err != nil {
 			return config.Endpoint{}, nil, admissionFailure(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -116,7 +116,7 @@
 	services := routing.NewServices(n.drains, current)
 	n.places = places.NewServer(n.fleet.Members, router, services, current, checker)
 	n.peers = peer.NewServer(n.fleet, n.keeper, n.places)
-	var asker admission.Asker = places.NewAsker(n.fleet.Members, current, n.places, n.caller)
+	var asker admission.AllocatorClient = places.NewClient(n.fleet.Members, current, n.places, n.caller)
 	if s.PlacesPolicy == settings.PlacesSplit {
 		asker = places.NewSplitter(n.fleet.Members, current, n.places)
 	}
--- a/internal/places/asker.go
+++ b/internal/places/asker.go
@@ -18,8 +18,8 @@
 	errNotAllocator = errors.New("the node asked is not the allocator of this model's places")
 )
 
-// Asker implements admission.Asker: it sends reports to the node that allocates the pool.
-type Asker struct {
+// Client implements admission.Client: it sends reports to the node that allocates the pool.
+type Client struct {
 	members *membership.Table
 	current func() *config.Config
 	server  *Server
@@ -29,13 +29,13 @@
 	lastAllocator map[string]string // model → VM and incarnation of the allocator asked last
 }
 
-// NewAsker returns an Asker. Pools that this node allocates are handled by server without a call.
-func NewAsker(members *membership.Table, current func() *config.Config, server *Server, caller *peer.Caller) *Asker {
-	return &Asker{members: members, current: current, server: server, caller: caller, lastAllocator: make(map[string]string)}
+// NewClient returns an Asker. Pools that this node allocates are handled by server without a call.
+func NewClient(members *membership.Table, current func() *config.Config, server *Server, caller *peer.Caller) *Client {
+	return &Client{members: members, current: current, server: server, caller: caller, lastAllocator: make(map[string]string)}
 }
 
 // Ask implements admission.Asker.
-func (a *Asker) Ask(ctx context.Context, model string, r allocator.Report) (allocator.Grant, time.Duration, bool, error) {
+func (a *Client) Ask(ctx context.Context, model string, r allocator.Report) (allocator.Grant, time.Duration, bool, error) {
 	now := clock.Now()
 	c := a.current()
 	if c == nil {
@@ -67,7 +67,7 @@
 }
 
 // allocatorChanged reports whether the model's allocator is another one than at the last call.
-func (a *Asker) allocatorChanged(model string, to membership.Member) bool {
+func (a *Client) allocatorChanged(model string, to membership.Member) bool {
 	id := to.VM + "/" + to.Incarnation
 	a.mu.Lock()
 	defer a.mu.Unlock()
