--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -44,7 +44,7 @@
 	Current   func() *config.Config
 	Members   *membership.Table
 	Mirror    *mirror.Mirror
-	Drains    *drains.Book
+	Drains    *drains.Reader
 	Book      *domains.Book
 	Router    *routing.Router
 	Admission *admission.Admission
--- a/internal/drains/book.go
+++ b/internal/drains/book.go
@@ -5,16 +5,16 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-// Book reads the list of drained VMs and endpoints from the mirror.
-type Book struct {
+// Reader reads the list of drained VMs and endpoints from the mirror.
+type Reader struct {
 	view *mirror.View[Drains]
 }
 
-// NewBook returns a Book that reads from m.
-func NewBook(m *mirror.Mirror) *Book { return &Book{mirror.NewView[Drains](m)} }
+// NewReader returns a Book that reads from m.
+func NewReader(m *mirror.Mirror) *Reader { return &Reader{mirror.NewView[Drains](m)} }
 
 // Read returns the list as currently mirrored, empty if the object is missing.
-func (b *Book) Read() Drains {
+func (b *Reader) Read() Drains {
 	if d, _, ok := b.view.Get(keys.Drains); ok {
 		return *d
 	}
--- a/internal/holder/controller.go
+++ b/internal/holder/controller.go
@@ -50,7 +50,7 @@
 	Engine     infra.Engine
 	Mirror     *mirror.Mirror
 	Book       *domains.Book
-	Drains     *drains.Book
+	Drains     *drains.Reader
 	Reports    *evidence.Reports
 	VMs        *VMWatch
 	Config     func() *config.Config
--- a/internal/holder/loss_meter.go
+++ b/internal/holder/loss_meter.go
@@ -47,7 +47,7 @@
 	}
 	incomplete := make(map[string]bool)
 	for _, g := range a.Groups {
-		if replica.Whole(g, v.VMs, v.Now, limit) {
+		if replica.AllVMsReady(g, v.VMs, v.Now, limit) {
 			continue
 		}
 		incomplete[g.ID] = true
--- a/internal/inforce/keeper.go
+++ b/internal/inforce/keeper.go
@@ -26,8 +26,8 @@
 	Fetch(ctx context.Context, keys []string) []infra.Object
 }
 
-// Keeper holds the configuration in force.
-type Keeper struct {
+// Tracker holds the configuration in force.
+type Tracker struct {
 	mirror   *mirror.Mirror
 	source   Source
 	checker  *invariant.Checker
@@ -41,19 +41,19 @@
 	decoded map[string]config.Part  // decoded parts, by object key
 }
 
-// NewKeeper returns a Keeper without a configuration; onChange is called with each configuration put in force.
-func NewKeeper(m *mirror.Mirror, source Source, checker *invariant.Checker, logger log.Logger, onChange func(*config.Config)) *Keeper {
-	return &Keeper{
+// NewTracker returns a Keeper without a configuration; onChange is called with each configuration put in force.
+func NewTracker(m *mirror.Mirror, source Source, checker *invariant.Checker, logger log.Logger, onChange func(*config.Config)) *Tracker {
+	return &Tracker{
 		mirror: m, source: source, checker: checker, logger: logger, onChange: onChange,
 		parts: make(map[string]infra.Object), decoded: make(map[string]config.Part),
 	}
 }
 
 // Current returns the configuration in force, or nil if there is none yet.
-func (k *Keeper) Current() *config.Config { return k.current.Load() }
+func (k *Tracker) Current() *config.Config { return k.current.Load() }
 
 // Part implements peer.PartSource.
-func (k *Keeper) Part(key string) (infra.Object, bool) {
+func (k *Tracker) Part(key string) (infra.Object, bool) {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	o, ok := k.parts[key]
@@ -61,7 +61,7 @@
 }
 
 // Run puts the configuration of each new head in force until ctx ends. It retries with backoff while parts are missing.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Tracker) Run(ctx context.Context) error {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = 10 * time.Millisecond
 	wait.MaxInterval = time.Second
@@ -83,7 +83,7 @@
 }
 
 // update puts the configuration of the latest head in force and reports whether nothing remains to be fetched.
-func (k *Keeper) update(ctx context.Context) bool {
+func (k *Tracker) update(ctx context.Context) bool {
 	o, ok := k.mirror.Get(keys.Head)
 	if !ok {
 		return true
@@ -106,7 +106,7 @@
 
 // assemble returns the head's decoded parts, after fetching those that are missing. It reports false if a part is still
 // missing or cannot be decoded.
-func (k *Keeper) assemble(ctx context.Context, head *accept.Head) (config.Set, bool) {
+func (k *Tracker) assemble(ctx context.Context, head *accept.Head) (config.Set, bool) {
 	k.fetchMissing(ctx, head)
 	set := make(config.Set, len(head.Parts))
 	for name, ref := range head.Parts {
@@ -119,7 +119,7 @@
 	return set, true
 }
 
-func (k *Keeper) fetchMissing(ctx context.Context, head *accept.Head) {
+func (k *Tracker) fetchMissing(ctx context.Context, head *accept.Head) {
 	var missing []string
 	k.mu.RLock()
 	for _, ref := range head.Parts {
@@ -139,7 +139,7 @@
 	}
 }
 
-func (k *Keeper) decodePart(name string, ref *accept.PartRef) (config.Part, bool) {
+func (k *Tracker) decodePart(name string, ref *accept.PartRef) (config.Part, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p, ok := k.decoded[ref.Key]; ok {
@@ -159,7 +159,7 @@
 	return p, true
 }
 
-func (k *Keeper) activate(next *config.Config, head *accept.Head) {
+func (k *Tracker) activate(next *config.Config, head *accept.Head) {
 	old := k.Current()
 	k.checker.Hold(invariant.RevisionGrows, old == nil || next.Revision > old.Revision, func() []any {
 		return []any{"from", old.Revision, "to", next.Revision}
@@ -171,7 +171,7 @@
 }
 
 // prune removes the parts that the head in force does not reference.
-func (k *Keeper) prune(head *accept.Head) {
+func (k *Tracker) prune(head *accept.Head) {
 	keep := make(map[string]bool, len(head.Parts))
 	for _, ref := range head.Parts {
 		keep[ref.Key] = true
--- a/internal/inforce/keeper_test.go
+++ b/internal/inforce/keeper_test.go
@@ -15,7 +15,7 @@
 
 func TestActivatingAnOlderRevisionBreachesTheInvariant(t *testing.T) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
-	k := NewKeeper(mirror.New(), nil, checker, log.NewNopLogger(), func(*config.Config) {})
+	k := NewTracker(mirror.New(), nil, checker, log.NewNopLogger(), func(*config.Config) {})
 	k.activate(config.New(7, nil), &accept.Head{Revision: 7})
 	qt.Assert(t, checker.Breaches(), qt.Equals, int64(0))
 	k.activate(config.New(6, nil), &accept.Head{Revision: 6})
--- a/internal/membership/orphans.go
+++ b/internal/membership/orphans.go
@@ -8,9 +8,9 @@
 // takeoverAfter is how long a data centre must be without a live node before nodes of other data centres act for it.
 const takeoverAfter = 8 * time.Second
 
-// Orphans tracks the data centres without live nodes and selects nodes of the same region to act for them, because
+// Takeover tracks the data centres without live nodes and selects nodes of the same region to act for them, because
 // the engine VMs of such a data centre may still be running.
-type Orphans struct {
+type Takeover struct {
 	members *Table
 	region  func(dataCentre string) string
 
@@ -18,14 +18,14 @@
 	emptySince map[string]time.Time // data centre → time since which it has had no live node
 }
 
-// NewOrphans returns an Orphans; region maps a data centre to its region.
-func NewOrphans(members *Table, region func(string) string) *Orphans {
-	return &Orphans{members: members, region: region, emptySince: make(map[string]time.Time)}
+// NewTakeover returns an Orphans; region maps a data centre to its region.
+func NewTakeover(members *Table, region func(string) string) *Takeover {
+	return &Takeover{members: members, region: region, emptySince: make(map[string]time.Time)}
 }
 
-// Guardians returns the nodes that act for a data centre: its own live nodes or, after takeoverAfter without any, all
+// ActingNodes returns the nodes that act for a data centre: its own live nodes or, after takeoverAfter without any, all
 // live nodes of its region. Of nodes of other data centres, the first in rank competes for the data centre's lease.
-func (o *Orphans) Guardians(dataCentre string, now time.Time) []Member {
+func (o *Takeover) ActingNodes(dataCentre string, now time.Time) []Member {
 	own := o.members.LiveIn(dataCentre, now)
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,16 +58,16 @@
 	closer   io.Closer
 
 	fleet     *peer.Fleet
-	drains    *drains.Book
+	drains    *drains.Reader
 	objects   infra.ObjectStore
 	calls     *httpcall.Client
 	caller    *peer.Caller
 	links     *relay.Links
 	watcher   *relay.Watcher
-	keeper    *inforce.Keeper
+	keeper    *inforce.Tracker
 	tenancies *tenancies
 	pruner    *holder.Pruner
-	orphans   *membership.Orphans
+	orphans   *membership.Takeover
 	vms       *holder.VMWatch
 	observer  *observer.Observer
 	places    *places.Server
@@ -101,12 +101,12 @@
 	n.buildPlatform()
 	n.buildFleet()
 	current := func() *config.Config { return n.keeper.Current() }
-	n.keeper = inforce.NewKeeper(n.fleet.Mirror, partSource{n.caller, n.links, n.objects}, checker, logger, n.inForce)
+	n.keeper = inforce.NewTracker(n.fleet.Mirror, partSource{n.caller, n.links, n.objects}, checker, logger, n.inForce)
 	book := domains.NewBook(n.fleet.Mirror)
-	n.drains = drains.NewBook(n.fleet.Mirror)
+	n.drains = drains.NewReader(n.fleet.Mirror)
 	router := routing.New(n.drains, book, n.fleet.Looks, current)
 	engine := rest.NewEngine(n.calls, engineTimeout)
-	n.orphans = membership.NewOrphans(n.fleet.Members, func(dataCentre string) string {
+	n.orphans = membership.NewTakeover(n.fleet.Members, func(dataCentre string) string {
 		if c := current(); c != nil {
 			return c.Region(dataCentre)
 		}
--- a/internal/node/tenancies.go
+++ b/internal/node/tenancies.go
@@ -85,7 +85,7 @@
 	if c.Region(dataCentre) != c.Region(n.settings.DataCentre) {
 		return false
 	}
-	guardians := membership.Rank("guard/"+dataCentre, n.orphans.Guardians(dataCentre, now))
+	guardians := membership.Rank("guard/"+dataCentre, n.orphans.ActingNodes(dataCentre, now))
 	return len(guardians) > 0 && guardians[0].VM == n.settings.VM
 }
 
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -35,7 +35,7 @@
 	engine           infra.Engine
 	book             *domains.Book
 	config           func() *config.Config
-	orphans          *membership.Orphans
+	orphans          *membership.Takeover
 	pollInterval     time.Duration
 	evidenceLifetime time.Duration
 
@@ -47,7 +47,7 @@
 
 // New returns an Observer that polls each VM at the interval every. Its evidence for a group expires when
 // lifetime has passed since the oldest of the last answers of the group's VMs.
-func New(fleet *peer.Fleet, engine infra.Engine, book *domains.Book, current func() *config.Config, orphans *membership.Orphans, every, lifetime time.Duration) *Observer {
+func New(fleet *peer.Fleet, engine infra.Engine, book *domains.Book, current func() *config.Config, orphans *membership.Takeover, every, lifetime time.Duration) *Observer {
 	return &Observer{
 		fleet: fleet, engine: engine, book: book, config: current, orphans: orphans, pollInterval: every, evidenceLifetime: lifetime,
 		watches: make(map[string]domainWatch),
@@ -104,7 +104,7 @@
 			continue
 		}
 		if _, known := guardians[d.DataCentre]; !known {
-			guardians[d.DataCentre] = o.orphans.Guardians(d.DataCentre, now)
+			guardians[d.DataCentre] = o.orphans.ActingNodes(d.DataCentre, now)
 		}
 		purpose := "observe/" + name
 		if d.DataCentre != self.DataCentre {
@@ -178,7 +178,7 @@
 // the oldest of its VMs' last answers. A group that is not whole gets a zero expiry time.
 func (o *Observer) groupEvidence(g *replica.Group, vms map[string]replica.VMView, now time.Time) evidence.Group {
 	out := evidence.Group{ID: g.ID, Birth: g.Birth}
-	if !replica.Whole(g, vms, now, o.evidenceLifetime) {
+	if !replica.AllVMsReady(g, vms, now, o.evidenceLifetime) {
 		return out
 	}
 	oldest := now
--- a/internal/replica/plan.go
+++ b/internal/replica/plan.go
@@ -54,8 +54,8 @@
 	pl.changes = append(pl.changes, Change{group, fmt.Sprintf(format, args...)})
 }
 
-// Whole reports whether every VM of the group has answered within limit and reports that it is ready in the group.
-func Whole(g *Group, vms map[string]VMView, now time.Time, limit time.Duration) bool {
+// AllVMsReady reports whether every VM of the group has answered within limit and reports that it is ready in the group.
+func AllVMsReady(g *Group, vms map[string]VMView, now time.Time, limit time.Duration) bool {
 	for _, vm := range g.VMs {
 		v := vms[vm]
 		if v.silent(now, limit) || !v.State.InGroup(g.ID, g.Birth, g.Model, g.Version) || !v.State.Ready {
@@ -68,7 +68,7 @@
 // markServing moves forming groups whose VMs are all ready to Serving.
 func (pl *planner) markServing() {
 	for _, g := range pl.next.Groups {
-		if g.State == Forming && Whole(g, pl.view.VMs, pl.view.Now, pl.policy.LossAfter) {
+		if g.State == Forming && AllVMsReady(g, pl.view.VMs, pl.view.Now, pl.policy.LossAfter) {
 			g.State = Serving
 			g.Served = true
 			pl.recordChange(g.ID, "whole")
--- a/internal/replica/replicatest/domain.go
+++ b/internal/replica/replicatest/domain.go
@@ -145,7 +145,7 @@
 		if v := d.VMs[vm.Name]; v.Silent || v.Gone {
 			continue
 		}
-		if g == nil || !replica.Whole(g, views, d.Now, pass) {
+		if g == nil || !replica.AllVMsReady(g, views, d.Now, pass) {
 			d.Stranded += pass * Accelerators
 		}
 	}
@@ -154,7 +154,7 @@
 		wanted += m.Replicas.Min
 	}
 	for _, g := range d.Assignment.Groups {
-		if g.State != replica.Draining && replica.Whole(g, views, d.Now, pass) {
+		if g.State != replica.Draining && replica.AllVMsReady(g, views, d.Now, pass) {
 			whole++
 		}
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -21,7 +21,7 @@
 
 // Router selects the replica groups that requests may be sent to.
 type Router struct {
-	drains      *drains.Book
+	drains      *drains.Reader
 	assignments *domains.Book
 	evidence    *evidence.Table
 	current     func() *config.Config
@@ -44,7 +44,7 @@
 }
 
 // New returns a Router over the drains, the assignments, the evidence and the configuration that the node has.
-func New(d *drains.Book, assignmentBook *domains.Book, evidenceTable *evidence.Table, current func() *config.Config) *Router {
+func New(d *drains.Reader, assignmentBook *domains.Book, evidenceTable *evidence.Table, current func() *config.Config) *Router {
 	return &Router{drains: d, assignments: assignmentBook, evidence: evidenceTable, current: current, health: make(map[targetKey]*health)}
 }
 
--- a/internal/routing/services.go
+++ b/internal/routing/services.go
@@ -26,7 +26,7 @@
 // Services determines the endpoints of plain services that requests may be sent to now. It implements
 // admission.Chooser: an endpoint is treated as a group with one member and without births.
 type Services struct {
-	drains  *drains.Book
+	drains  *drains.Reader
 	current func() *config.Config
 
 	mu     sync.Mutex
@@ -34,7 +34,7 @@
 }
 
 // NewServices returns Services over the drains and the configuration that the node has.
-func NewServices(d *drains.Book, current func() *config.Config) *Services {
+func NewServices(d *drains.Reader, current func() *config.Config) *Services {
 	return &Services{drains: d, current: current, health: make(map[string]*health)}
 }
 
--- a/internal/routing/services_test.go
+++ b/internal/routing/services_test.go
@@ -23,7 +23,7 @@
 	workspace := &config.Workspace{Name: "gifts", Services: []config.Service{{Name: "receipts", Endpoints: []config.Endpoint{{Name: "a"}, {Name: "b", Places: 16}, {Name: "c"}}}}}
 	c := config.New(1, config.Set{config.WorkspacePart("gifts"): {Workspace: workspace}})
 	m := mirror.New()
-	return routing.NewServices(drains.NewBook(m), func() *config.Config { return c }), m
+	return routing.NewServices(drains.NewReader(m), func() *config.Config { return c }), m
 }
 
 func names(refs []allocator.Ref) []string {
