--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,7 @@
 func TestClockContinuesDuringSuspension(t *testing.T) {
 	var suspended atomic.Int64
 	suspended.Store(int64(time.Hour)) // before the process started
-	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
+	defer clock.SetSuspendedForTest(func() time.Duration { return time.Duration(suspended.Load()) })()
 	began := clock.Now()
 	qt.Check(t, clock.Since(began) < time.Minute, qt.IsTrue, qt.Commentf("suspensions before the process started do not count"))
 	end := began.Add(10 * time.Second)
--- a/internal/clock/pretend.go
+++ b/internal/clock/pretend.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Pretend makes read the source of how long the machine has been suspended, until restore is called. It is for tests, which
+// SetSuspendedForTest makes read the source of how long the machine has been suspended, until restore is called. It is for tests, which
 // cannot suspend the machine.
-func Pretend(read func() time.Duration) (restore func()) {
+func SetSuspendedForTest(read func() time.Duration) (restore func()) {
 	previousRead := readSuspended.Load()
 	previousFirst, previousLatest := firstSuspended.Load(), latestSuspended.Load()
 	simulated := func() (time.Duration, bool) { return read(), true }
--- a/internal/cmd/cmd_trace.go
+++ b/internal/cmd/cmd_trace.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			return err
 		}
-		story := trace.Of(args[0], lines)
+		story := trace.ForRequest(args[0], lines)
 		if len(story) == 0 {
 			return exitcode.New(exitcode.Failed, "no line about request %s: it may not have reached these nodes, or was not sampled; see docs/OPERATIONS.md", args[0])
 		}
--- a/internal/follow/suspend_test.go
+++ b/internal/follow/suspend_test.go
@@ -15,7 +15,7 @@
 // the proof is six seconds older, although the monotonic clock did not advance.
 func TestProofAgesWhileTheVMIsSuspended(t *testing.T) {
 	var suspended atomic.Int64
-	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
+	defer clock.SetSuspendedForTest(func() time.Duration { return time.Duration(suspended.Load()) })()
 	p := newProof("a/", "b/")
 	p.fromStore("a/", clock.Now())
 	p.fromPeer(clock.Now())
@@ -28,7 +28,7 @@
 // A message that another node sent just before the suspension stays in the socket's buffer until the VM resumes.
 func TestMessageSentBeforeTheSuspensionIsNotTakenForFresh(t *testing.T) {
 	var suspended atomic.Int64
-	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
+	defer clock.SetSuspendedForTest(func() time.Duration { return time.Duration(suspended.Load()) })()
 	var c freshness.Clock
 	tick := c.Next(clock.Now())
 	suspended.Add(int64(6 * time.Second))
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -175,7 +175,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); n.receive(ctx) }()
 	for due := clock.Now(); ctx.Err() == nil; {
-		if loop.SleepOr(ctx, clock.Until(due), n.kick) {
+		if loop.SleepOrWake(ctx, clock.Until(due), n.kick) {
 			n.sendRound(clock.Now(), true)
 			time.Sleep(minUrgentInterval)
 			continue
--- a/internal/holder/suspend_test.go
+++ b/internal/holder/suspend_test.go
@@ -15,7 +15,7 @@
 // must not count on it after the resume, since another node may hold it by then.
 func TestLeaseRunsOutWhileTheMachineIsSuspended(t *testing.T) {
 	var suspended atomic.Int64
-	defer clock.Pretend(func() time.Duration { return time.Duration(suspended.Load()) })()
+	defer clock.SetSuspendedForTest(func() time.Duration { return time.Duration(suspended.Load()) })()
 	l := lease.New("a", 1500*time.Millisecond, 150*time.Millisecond)
 	l.Observed(0, lease.Record{}, clock.Now())
 	_, record, _ := l.Next(clock.Now(), true, "op")
--- a/internal/loop/every.go
+++ b/internal/loop/every.go
@@ -11,11 +11,11 @@
 // Every calls step immediately and then once per interval until ctx ends. Calls never overlap: a step that takes longer than
 // the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, step func(now time.Time)) {
-	EveryOr(ctx, interval, nil, step)
+	EveryOrWake(ctx, interval, nil, step)
 }
 
-// EveryOr is like Every, but also calls step whenever a value arrives on wake.
-func EveryOr(ctx context.Context, interval time.Duration, wake <-chan struct{}, step func(now time.Time)) {
+// EveryOrWake is like Every, but also calls step whenever a value arrives on wake.
+func EveryOrWake(ctx context.Context, interval time.Duration, wake <-chan struct{}, step func(now time.Time)) {
 	due := clock.Now()
 	for {
 		now := clock.Now()
@@ -23,7 +23,7 @@
 			due = due.Add(late - late%interval + interval)
 		}
 		step(now)
-		SleepOr(ctx, clock.Until(due), wake)
+		SleepOrWake(ctx, clock.Until(due), wake)
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/loop/every_test.go
+++ b/internal/loop/every_test.go
@@ -75,7 +75,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var began []time.Duration
-		EveryOr(ctx, interval, wake, func(time.Time) {
+		EveryOrWake(ctx, interval, wake, func(time.Time) {
 			if began = append(began, time.Since(start)); len(began) == 3 {
 				cancel()
 			}
--- a/internal/peer/link_client.go
+++ b/internal/peer/link_client.go
@@ -129,7 +129,7 @@
 		if !l.near {
 			changed = nil // only relays of the own data centre need what this node observes
 		}
-		if loop.SleepOr(ctx, l.fleet.Heartbeat, changed) {
+		if loop.SleepOrWake(ctx, l.fleet.Heartbeat, changed) {
 			loop.Sleep(ctx, upGap)
 		}
 	}
--- a/internal/peer/link_server.go
+++ b/internal/peer/link_server.go
@@ -71,7 +71,7 @@
 			due = earliest(due, clock.Now().Add(upGap))
 			changed = nil
 		}
-		if loop.SleepOr(ctx, clock.Until(due), changed) {
+		if loop.SleepOrWake(ctx, clock.Until(due), changed) {
 			continue
 		}
 		if ctx.Err() != nil {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -22,12 +22,12 @@
 	lines, err := trace.Read(strings.NewReader(logs))
 	qt.Assert(t, err, qt.IsNil)
 	var events []string
-	for _, l := range trace.Of("r1", lines) {
+	for _, l := range trace.ForRequest("r1", lines) {
 		events = append(events, l.Event)
 	}
 	qt.Check(t, events, qt.DeepEquals, []string{"order", "sent", "group retires", "refused"})
-	qt.Check(t, trace.Of("none", lines), qt.HasLen, 0)
-	requestLines := trace.Of("r1", lines)
+	qt.Check(t, trace.ForRequest("none", lines), qt.HasLen, 0)
+	requestLines := trace.ForRequest("r1", lines)
 	qt.Check(t, requestLines[3].Own, qt.IsTrue)
 	qt.Check(t, requestLines[2].Own, qt.IsFalse)
 	qt.Check(t, requestLines[3].Details(), qt.Equals, "reason=timed-out")
