--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,7 +23,7 @@
 
 // Admission holds this node's queues, in one pool for each model.
 type Admission struct {
-	asker   AllocatorClient
+	client  AllocatorClient
 	chooser Chooser
 
 	// LengthOnly bounds queues only by length, not by expected wait. It is a baseline for comparison.
@@ -36,8 +36,8 @@
 }
 
 // New returns an Admission; its reporters run until ctx ends.
-func New(ctx context.Context, asker AllocatorClient, chooser Chooser) *Admission {
-	return &Admission{asker: asker, chooser: chooser, pools: make(map[string]*pool), ctx: ctx}
+func New(ctx context.Context, client AllocatorClient, chooser Chooser) *Admission {
+	return &Admission{client: client, chooser: chooser, pools: make(map[string]*pool), ctx: ctx}
 }
 
 // Acquire waits for a place until the request's timeout or until ctx ends. The error is a *Refusal or ctx.Err().
@@ -117,7 +117,7 @@
 	r, waiting, busy := p.report(now)
 	ctx, cancel := context.WithTimeout(a.ctx, reportTimeout)
 	defer cancel()
-	grant, lifetime, changed, err := a.asker.Ask(ctx, p.model, r)
+	grant, lifetime, changed, err := a.client.Ask(ctx, p.model, r)
 	if changed {
 		p.resetGrant()
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -14,7 +14,7 @@
 // fixedAllocator grants fixed places, and reports every group as usable.
 type fixedAllocator struct{ limits []allocator.Places }
 
-// Ask implements Asker.
+// Ask implements AllocatorClient.
 func (g fixedAllocator) Ask(context.Context, string, allocator.Report) (allocator.Grant, time.Duration, bool, error) {
 	return allocator.Grant{Number: 1, Workspaces: []allocator.WorkspaceGrant{{Workspace: "w", Limits: g.limits}}}, time.Minute, false, nil
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -18,6 +18,6 @@
 	PreferWait time.Duration
 	// Priority orders the waiting requests of a workspace; the highest goes first.
 	Priority int
-	// Timeout is how long the request may take, waiting included.
+	// Timeout is how long the request may take, including the wait for a place.
 	Timeout time.Duration
 }
--- a/internal/allocator/held.go
+++ b/internal/allocator/held.go
@@ -11,7 +11,7 @@
 	return total
 }
 
-// releaseNode subtracts the places that the node holds from those of the groups.
+// releaseNode subtracts the places that the node holds from the held counts of the groups.
 func (p *Pool) releaseNode(n *node) {
 	for _, c := range n.claims {
 		for key, held := range c.held {
--- a/internal/clock/pretend.go
+++ b/internal/clock/suspension_fake.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SetSuspendedForTest makes read the source of how long the machine has been suspended, until restore is called. It is for tests, which
-// cannot suspend the machine.
+// SetSuspendedForTest makes read the source of how long the machine has been suspended, until restore is
+// called. It is for tests, which cannot suspend the machine.
 func SetSuspendedForTest(read func() time.Duration) (restore func()) {
 	previousRead := readSuspended.Load()
 	previousFirst, previousLatest := firstSuspended.Load(), latestSuspended.Load()
--- a/internal/drains/book.go
+++ b/internal/drains/reader.go
@@ -10,12 +10,12 @@
 	view *mirror.View[Drains]
 }
 
-// NewReader returns a Book that reads from m.
+// NewReader returns a Reader that reads from m.
 func NewReader(m *mirror.Mirror) *Reader { return &Reader{mirror.NewView[Drains](m)} }
 
 // Read returns the list as currently mirrored, empty if the object is missing.
-func (b *Reader) Read() Drains {
-	if d, _, ok := b.view.Get(keys.Drains); ok {
+func (r *Reader) Read() Drains {
+	if d, _, ok := r.view.Get(keys.Drains); ok {
 		return *d
 	}
 	return Drains{}
--- a/internal/httpcall/silent_test.go
+++ b/internal/httpcall/silent_test.go
@@ -17,22 +17,22 @@
 )
 
 func TestSilentConnectionClosesOthersToItsAddress(t *testing.T) {
-	const kept = 5
+	const connections = 5
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	quiet := silence.New(lis)
-	var together sync.WaitGroup
-	together.Add(kept)
+	listener := silence.New(lis)
+	var arrived sync.WaitGroup
+	arrived.Add(connections)
 	first := true
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		if first { // all calls overlap, so that each needs a connection of its own
-			together.Done()
-			together.Wait()
+			arrived.Done()
+			arrived.Wait()
 		}
 	}))
-	server.Listener = quiet
+	server.Listener = listener
 	server.Start()
-	t.Cleanup(func() { quiet.Silence(); server.Close() })
+	t.Cleanup(func() { listener.Silence(); server.Close() })
 	address := lis.Addr().String()
 	client := httpcall.NewClient()
 	call := func(timeout time.Duration) error {
@@ -46,12 +46,12 @@
 		return a.Close()
 	}
 	var calls sync.WaitGroup
-	for range kept {
+	for range connections {
 		calls.Go(func() { qt.Check(t, call(10*time.Second), qt.IsNil) })
 	}
 	calls.Wait()
 	first = false
-	qt.Assert(t, quiet.Silence(), qt.Equals, kept)
+	qt.Assert(t, listener.Silence(), qt.Equals, connections)
 	qt.Check(t, call(400*time.Millisecond), qt.IsNotNil)
 	qt.Check(t, call(10*time.Second), qt.IsNil, qt.Commentf("a new connection works"))
 }
--- a/internal/inforce/keeper.go
+++ b/internal/inforce/tracker.go
@@ -41,7 +41,7 @@
 	decoded map[string]config.Part  // decoded parts, by object key
 }
 
-// NewTracker returns a Keeper without a configuration; onChange is called with each configuration put in force.
+// NewTracker returns a Tracker without a configuration; onChange is called with each configuration put in force.
 func NewTracker(m *mirror.Mirror, source Source, checker *invariant.Checker, logger log.Logger, onChange func(*config.Config)) *Tracker {
 	return &Tracker{
 		mirror: m, source: source, checker: checker, logger: logger, onChange: onChange,
@@ -50,25 +50,25 @@
 }
 
 // Current returns the configuration in force, or nil if there is none yet.
-func (k *Tracker) Current() *config.Config { return k.current.Load() }
+func (t *Tracker) Current() *config.Config { return t.current.Load() }
 
 // Part implements peer.PartSource.
-func (k *Tracker) Part(key string) (infra.Object, bool) {
-	k.mu.RLock()
-	defer k.mu.RUnlock()
-	o, ok := k.parts[key]
+func (t *Tracker) Part(key string) (infra.Object, bool) {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	o, ok := t.parts[key]
 	return o, ok
 }
 
 // Run puts the configuration of each new head in force until ctx ends. It retries with backoff while parts are missing.
-func (k *Tracker) Run(ctx context.Context) error {
+func (t *Tracker) Run(ctx context.Context) error {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = 10 * time.Millisecond
 	wait.MaxInterval = time.Second
 	for {
-		changed := k.mirror.Changed()
+		changed := t.mirror.Changed()
 		var again <-chan time.Time
-		if k.update(ctx) {
+		if t.update(ctx) {
 			wait.Reset()
 		} else {
 			again = time.After(wait.NextBackOff())
@@ -83,34 +83,34 @@
 }
 
 // update puts the configuration of the latest head in force and reports whether nothing remains to be fetched.
-func (k *Tracker) update(ctx context.Context) bool {
-	o, ok := k.mirror.Get(keys.Head)
+func (t *Tracker) update(ctx context.Context) bool {
+	o, ok := t.mirror.Get(keys.Head)
 	if !ok {
 		return true
 	}
 	head, err := accept.DecodeHead(o.Value)
 	if err != nil {
-		_ = level.Error(k.logger).Log("msg", "cannot decode the configuration head, keeping the current configuration", "err", err)
+		_ = level.Error(t.logger).Log("msg", "cannot decode the configuration head, keeping the current configuration", "err", err)
 		return true
 	}
-	if now := k.Current(); now != nil && head.Revision <= now.Revision {
+	if now := t.Current(); now != nil && head.Revision <= now.Revision {
 		return true
 	}
-	set, ok := k.assemble(ctx, head)
+	set, ok := t.assemble(ctx, head)
 	if !ok {
 		return false
 	}
-	k.activate(config.New(head.Revision, set), head)
+	t.activate(config.New(head.Revision, set), head)
 	return true
 }
 
 // assemble returns the head's decoded parts, after fetching those that are missing. It reports false if a part is still
 // missing or cannot be decoded.
-func (k *Tracker) assemble(ctx context.Context, head *accept.Head) (config.Set, bool) {
-	k.fetchMissing(ctx, head)
+func (t *Tracker) assemble(ctx context.Context, head *accept.Head) (config.Set, bool) {
+	t.fetchMissing(ctx, head)
 	set := make(config.Set, len(head.Parts))
 	for name, ref := range head.Parts {
-		part, ok := k.decodePart(name, ref)
+		part, ok := t.decodePart(name, ref)
 		if !ok {
 			return nil, false
 		}
@@ -119,69 +119,69 @@
 	return set, true
 }
 
-func (k *Tracker) fetchMissing(ctx context.Context, head *accept.Head) {
+func (t *Tracker) fetchMissing(ctx context.Context, head *accept.Head) {
 	var missing []string
-	k.mu.RLock()
+	t.mu.RLock()
 	for _, ref := range head.Parts {
-		if _, held := k.parts[ref.Key]; !held {
+		if _, held := t.parts[ref.Key]; !held {
 			missing = append(missing, ref.Key)
 		}
 	}
-	k.mu.RUnlock()
+	t.mu.RUnlock()
 	if len(missing) == 0 {
 		return
 	}
-	objects := k.source.Fetch(ctx, missing)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	objects := t.source.Fetch(ctx, missing)
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, o := range objects {
-		k.parts[o.Key] = o
+		t.parts[o.Key] = o
 	}
 }
 
-func (k *Tracker) decodePart(name string, ref *accept.PartRef) (config.Part, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if p, ok := k.decoded[ref.Key]; ok {
+func (t *Tracker) decodePart(name string, ref *accept.PartRef) (config.Part, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if p, ok := t.decoded[ref.Key]; ok {
 		return p, true
 	}
-	o, ok := k.parts[ref.Key]
+	o, ok := t.parts[ref.Key]
 	if !ok {
 		return config.Part{}, false
 	}
 	p, err := accept.DecodePart(name, ref, o.Value)
 	if err != nil {
-		_ = level.Error(k.logger).Log("msg", "cannot decode a configuration part, fetching it again", "err", err)
-		delete(k.parts, ref.Key)
+		_ = level.Error(t.logger).Log("msg", "cannot decode a configuration part, fetching it again", "err", err)
+		delete(t.parts, ref.Key)
 		return config.Part{}, false
 	}
-	k.decoded[ref.Key] = p
+	t.decoded[ref.Key] = p
 	return p, true
 }
 
-func (k *Tracker) activate(next *config.Config, head *accept.Head) {
-	old := k.Current()
-	k.checker.Hold(invariant.RevisionGrows, old == nil || next.Revision > old.Revision, func() []any {
+func (t *Tracker) activate(next *config.Config, head *accept.Head) {
+	old := t.Current()
+	t.checker.Hold(invariant.RevisionGrows, old == nil || next.Revision > old.Revision, func() []any {
 		return []any{"from", old.Revision, "to", next.Revision}
 	})
-	k.current.Store(next)
-	k.prune(head)
-	_ = level.Info(k.logger).Log("msg", "configuration in force", "revision", next.Revision)
-	k.onChange(next)
+	t.current.Store(next)
+	t.prune(head)
+	_ = level.Info(t.logger).Log("msg", "configuration in force", "revision", next.Revision)
+	t.onChange(next)
 }
 
 // prune removes the parts that the head in force does not reference.
-func (k *Tracker) prune(head *accept.Head) {
+func (t *Tracker) prune(head *accept.Head) {
 	keep := make(map[string]bool, len(head.Parts))
 	for _, ref := range head.Parts {
 		keep[ref.Key] = true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for key := range k.parts {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for key := range t.parts {
 		if !keep[key] {
-			delete(k.parts, key)
-			delete(k.decoded, key)
+			delete(t.parts, key)
+			delete(t.decoded, key)
 		}
 	}
 }
--- a/internal/loop/every_test.go
+++ b/internal/loop/every_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestEveryOrStepsImmediatelyOnWake(t *testing.T) {
+func TestEveryOrWakeStepsImmediatelyOnWake(t *testing.T) {
 	const interval = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/internal/membership/orphans.go
+++ b/internal/membership/takeover.go
@@ -18,32 +18,32 @@
 	emptySince map[string]time.Time // data centre → time since which it has had no live node
 }
 
-// NewTakeover returns an Orphans; region maps a data centre to its region.
+// NewTakeover returns a Takeover; region maps a data centre to its region.
 func NewTakeover(members *Table, region func(string) string) *Takeover {
 	return &Takeover{members: members, region: region, emptySince: make(map[string]time.Time)}
 }
 
 // ActingNodes returns the nodes that act for a data centre: its own live nodes or, after takeoverAfter without any, all
 // live nodes of its region. Of nodes of other data centres, the first in rank competes for the data centre's lease.
-func (o *Takeover) ActingNodes(dataCentre string, now time.Time) []Member {
-	own := o.members.LiveIn(dataCentre, now)
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (t *Takeover) ActingNodes(dataCentre string, now time.Time) []Member {
+	own := t.members.LiveIn(dataCentre, now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if len(own) > 0 {
-		delete(o.emptySince, dataCentre)
+		delete(t.emptySince, dataCentre)
 		return own
 	}
-	since, known := o.emptySince[dataCentre]
+	since, known := t.emptySince[dataCentre]
 	if !known {
-		o.emptySince[dataCentre] = now
+		t.emptySince[dataCentre] = now
 		return nil
 	}
 	if now.Sub(since) < takeoverAfter {
 		return nil
 	}
 	var acting []Member
-	for _, m := range o.members.Live(now) {
-		if o.region(m.DataCentre) == o.region(dataCentre) {
+	for _, m := range t.members.Live(now) {
+		if t.region(m.DataCentre) == t.region(dataCentre) {
 			acting = append(acting, m)
 		}
 	}
--- a/internal/places/asker.go
+++ b/internal/places/client.go
@@ -18,7 +18,7 @@
 	errNotAllocator = errors.New("the node asked is not the allocator of this model's places")
 )
 
-// Client implements admission.Client: it sends reports to the node that allocates the pool.
+// Client implements admission.AllocatorClient: it sends reports to the node that allocates the pool.
 type Client struct {
 	members *membership.Table
 	current func() *config.Config
@@ -29,12 +29,12 @@
 	lastAllocator map[string]string // model → VM and incarnation of the allocator asked last
 }
 
-// NewClient returns an Asker. Pools that this node allocates are handled by server without a call.
+// NewClient returns a Client. Pools that this node allocates are handled by server without a call.
 func NewClient(members *membership.Table, current func() *config.Config, server *Server, caller *peer.Caller) *Client {
 	return &Client{members: members, current: current, server: server, caller: caller, lastAllocator: make(map[string]string)}
 }
 
-// Ask implements admission.Asker.
+// Ask implements admission.AllocatorClient.
 func (a *Client) Ask(ctx context.Context, model string, r allocator.Report) (allocator.Grant, time.Duration, bool, error) {
 	now := clock.Now()
 	c := a.current()
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -1,5 +1,5 @@
 // Package places connects the allocators of package allocator with the nodes that request places. Server answers
-// for the pools that this node allocates; Asker sends requests to the node that allocates a pool. A model has one
+// for the pools that this node allocates; Client sends requests to the node that allocates a pool. A model has one
 // pool in each region. A plain service has one pool for all regions, since nodes of every region send requests to
 // its endpoints.
 package places
@@ -173,8 +173,8 @@
 	return grant
 }
 
-// check breaches the invariant PlacesHeld if a group has had more places held than it has for longer than a change
-// of its places may take to be applied.
+// check reports a breach of the invariant PlacesHeld if a group has been overcommitted for longer than a change of
+// its places may take to be applied.
 func (s *Server) check(p *lockedPool, now time.Time) {
 	id, held, places, over := p.pool.Overcommitted()
 	if !over {
--- a/internal/places/splitter.go
+++ b/internal/places/splitter.go
@@ -10,8 +10,8 @@
 	"moorrun.dev/moorrun/internal/membership"
 )
 
-// Splitter implements admission.Asker without calls to other nodes: each node takes an equal part of every group's
-// places and divides it by shares on its own. It is the baseline with which Asker is compared.
+// Splitter implements admission.AllocatorClient without calls to other nodes: each node takes an equal part of
+// every group's places and divides it by shares on its own. It is the baseline with which Client is compared.
 type Splitter struct {
 	members *membership.Table
 	current func() *config.Config
@@ -23,7 +23,7 @@
 	return &Splitter{members, current, server}
 }
 
-// Ask implements admission.Asker.
+// Ask implements admission.AllocatorClient.
 func (s *Splitter) Ask(_ context.Context, model string, r allocator.Report) (allocator.Grant, time.Duration, bool, error) {
 	now := clock.Now()
 	c := s.current()
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -51,9 +51,9 @@
 	return Line{VM: pop("vm"), Event: pop("msg"), timestamp: pop("ts"), Fields: fields}
 }
 
-// ForRequest returns the lines of all nodes about the request with that ID, and those about the endpoints and groups that it was sent
-// to. Lines of one node stay in the order in which it wrote them. Lines of different nodes are merged by timestamp; their order
-// is approximate, because the clocks of nodes may differ. Ages in the lines are exact.
+// ForRequest returns the lines of all nodes about the request with that ID, and those about the endpoints and groups that it
+// was sent to. Lines of one node stay in the order in which it wrote them. Lines of different nodes are merged by timestamp;
+// their order is approximate, because the clocks of nodes may differ. Ages in the lines are exact.
 func ForRequest(id string, lines []Line) []Line {
 	related := make(map[string]bool)
 	var out []Line
