--- a/internal/peer/allocator.go
+++ b/internal/peer/allocator.go
@@ -6,8 +6,8 @@
 	"moorrun.dev/moorrun/internal/peer/peerpb"
 )
 
-// Allocator answers demand for places.
+// Allocator grants places, which are request slots on model engines, to the nodes that ask for them.
 type Allocator interface {
-	// Demand takes in a node's demand for a model and returns what it is granted.
+	// Demand records a node's demand for a model and returns the places granted to that node.
 	Demand(ctx context.Context, request *peerpb.DemandRequest) *peerpb.DemandReply
 }
--- a/internal/peer/caller.go
+++ b/internal/peer/caller.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	pooledPerPeer = 8
-	pooledFor     = 30 * time.Second
+	maxPooledConnsPerPeer = 8
+	poolConnExpiry        = 30 * time.Second
 )
 
 // Caller makes single calls to other nodes over pooled connections.
 type Caller struct {
-	pool *drpcpool.Pool[string, drpcpool.Conn]
-	idle time.Duration
+	pool        *drpcpool.Pool[string, drpcpool.Conn]
+	idleTimeout time.Duration
 }
 
-// NewCaller returns a Caller; heartbeat bounds how long a silent connection is kept.
+// NewCaller returns a Caller. It closes a connection after idleTimeoutHeartbeats times heartbeat without traffic.
 func NewCaller(heartbeat time.Duration) *Caller {
 	return &Caller{
-		pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{KeyCapacity: pooledPerPeer, Expiration: pooledFor}),
-		idle: idleHeartbeats * heartbeat,
+		pool:        drpcpool.New[string, drpcpool.Conn](drpcpool.Options{KeyCapacity: maxPooledConnsPerPeer, Expiration: poolConnExpiry}),
+		idleTimeout: idleTimeoutHeartbeats * heartbeat,
 	}
 }
 
@@ -39,7 +39,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return drpcconn.New(transport{raw, c.idle}), nil
+		return drpcconn.New(idleTimeoutConn{raw, c.idleTimeout}), nil
 	})
 	return peerpb.NewDRPCPeerClient(drpc.Conn(conn))
 }
@@ -57,7 +57,7 @@
 	return out, nil
 }
 
-// Demand asks the allocator at address.
+// Demand sends request to the allocator at address and returns its reply.
 func (c *Caller) Demand(ctx context.Context, address string, request *peerpb.DemandRequest) (*peerpb.DemandReply, error) {
 	return c.client(ctx, address).Demand(ctx, request)
 }
--- a/internal/peer/contact.go
+++ b/internal/peer/contact.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Contact remembers when the node last certainly heard the platform or another node.
+// Contact records the latest time at which the platform or another node is known to have been alive.
 type Contact struct {
 	mu   sync.Mutex
 	last time.Time
 }
 
-// Heard notes that the other side was alive at that instant.
+// Heard records that the other side was alive at the given time. Earlier times than the latest are ignored.
 func (c *Contact) Heard(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -20,7 +20,7 @@
 	}
 }
 
-// Last returns the latest such instant.
+// Last returns the latest recorded time, or the zero time if there is none.
 func (c *Contact) Last() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -39,8 +39,8 @@
 	e.Groups = make([]*peerpb.GroupEvidence, len(l.Groups))
 	for i, g := range l.Groups {
 		e.Groups[i] = &peerpb.GroupEvidence{Id: g.ID, Birth: g.Birth, Running: g.Running, Waiting: g.Waiting}
-		if left := g.Expires.Sub(now); left > 0 {
-			e.Groups[i].RemainingMs = uint32(left.Milliseconds())
+		if remaining := g.Expires.Sub(now); remaining > 0 {
+			e.Groups[i].RemainingMs = uint32(remaining.Milliseconds())
 		}
 	}
 	return e
@@ -56,7 +56,7 @@
 	return l
 }
 
-// ReportToWire converts what a VM last said.
+// ReportToWire converts the last state that a VM reported.
 func ReportToWire(vm string, v replica.VMView, now time.Time) *peerpb.VMReport {
 	s := v.State
 	return &peerpb.VMReport{
@@ -79,12 +79,13 @@
 
 func millis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// ageMillis rounds up, so that an age is never made younger on its way.
+// ageMillis returns the time from at to now in milliseconds. It rounds up, so that the receiver never takes
+// the information for newer than it is.
 func ageMillis(at, now time.Time) uint32 {
-	const most = 1 << 31
+	const maxAgeMillis = 1 << 31
 	age := now.Sub(at)
 	if age < 0 {
 		return 0
 	}
-	return uint32(min(age.Milliseconds()+1, most))
+	return uint32(min(age.Milliseconds()+1, maxAgeMillis))
 }
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -1,5 +1,6 @@
-// Package peer carries what moorrund processes tell each other: state objects, evidence, members
-// and demand, over one long stream a pair and pooled calls.
+// Package peer implements the protocol between moorrund processes. State objects, liveness evidence and
+// membership travel over one long-lived stream for each pair of nodes; configuration parts and demand use
+// single calls over pooled connections.
 package peer
 
 import (
@@ -10,15 +11,15 @@
 	"moorrun.dev/moorrun/internal/mirror"
 )
 
-// Fleet is what a node knows and shares over its links.
+// Fleet is the state that a node holds of the deployment and exchanges with its peers over its links.
 type Fleet struct {
 	Mirror  *mirror.Mirror
 	Looks   *evidence.Table
 	Reports *evidence.Reports
 	Members *membership.Table
 	Contact *Contact
-	// Outgoing returns this node's own looks since a sequence, with the reports of the VMs looked at.
+	// Outgoing holds this node's own observations, with the reports of the observed VMs, for sending to relays.
 	Outgoing *Outbox
-	// Heartbeat is the longest silence of a link's either side.
+	// Heartbeat is the longest time that either side of a link goes without sending a message.
 	Heartbeat time.Duration
 }
--- a/internal/peer/link_client.go
+++ b/internal/peer/link_client.go
@@ -15,60 +15,63 @@
 	"moorrun.dev/moorrun/internal/peer/peerpb"
 )
 
-// idleHeartbeats is how many heartbeats of silence end a connection.
-const idleHeartbeats = 8
+// idleTimeoutHeartbeats is the number of heartbeat intervals without traffic after which a connection is closed.
+const idleTimeoutHeartbeats = 8
 
-// upGap is the shortest time between two messages to a relay.
-const upGap = 20 * time.Millisecond
+// minSendInterval is the shortest time between two messages on a link that are sent because state has changed.
+const minSendInterval = 20 * time.Millisecond
 
-// LinkClient is this node's link to one relay.
+// LinkClient is the client side of a link: this node's stream to one relay.
 type LinkClient struct {
-	fleet  *Fleet
-	near   bool // the relay is in this node's data centre
-	stream peerpb.DRPCPeer_LinkClient
+	fleet          *Fleet
+	sameDataCentre bool // whether the relay is in this node's data centre
+	stream         peerpb.DRPCPeer_LinkClient
 
 	mu    sync.Mutex
 	clock freshness.Clock
 	echo  uint64
 }
 
-// RunLink joins the relay at address and passes both ways until the link breaks or ctx ends.
-// near says that the relay is in this node's data centre. up is called with each instant at which
-// the relay was certainly alive.
-func RunLink(ctx context.Context, fleet *Fleet, address string, near bool, up func(at time.Time)) error {
-	d := net.Dialer{Timeout: idleHeartbeats * fleet.Heartbeat / 2}
+// RunLink connects to the relay at address and exchanges messages with it until the link fails or ctx ends.
+// sameDataCentre tells whether the relay is in this node's data centre. onAlive is called with each time at
+// which the relay is known to have been alive.
+func RunLink(ctx context.Context, fleet *Fleet, address string, sameDataCentre bool, onAlive func(at time.Time)) error {
+	d := net.Dialer{Timeout: idleTimeoutHeartbeats * fleet.Heartbeat / 2}
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
-	conn := drpcconn.New(transport{raw, idleHeartbeats * fleet.Heartbeat})
-	defer conn.Close() //nolint:errcheck // the link is over
+	conn := drpcconn.New(idleTimeoutConn{raw, idleTimeoutHeartbeats * fleet.Heartbeat})
+	defer conn.Close() //nolint:errcheck // the link has ended
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := peerpb.NewDRPCPeerClient(conn).Link(ctx)
 	if err != nil {
 		return err
 	}
-	l := &LinkClient{fleet: fleet, near: near, stream: stream}
-	failed := make(chan error, 1)
-	go func() { failed <- l.send(ctx) }()
+	l := &LinkClient{fleet: fleet, sameDataCentre: sameDataCentre, stream: stream}
+	sendErr := make(chan error, 1)
+	go func() { sendErr <- l.send(ctx) }()
 	for {
 		down, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		if at, ok := l.take(down); ok {
-			up(at)
+		if at, ok := l.receive(down); ok {
+			onAlive(at)
 		}
 		select {
-		case err := <-failed:
+		case err := <-sendErr:
 			return err
 		default:
 		}
 	}
 }
 
-func (l *LinkClient) take(down *peerpb.Down) (time.Time, bool) {
+// receive applies a message from the relay. It returns a time at which the relay is known to have been alive,
+// or false if the message echoes no known tick: the age of its evidence and members is then unknown, and they
+// are ignored.
+func (l *LinkClient) receive(down *peerpb.Down) (time.Time, bool) {
 	l.mu.Lock()
 	l.echo = down.Tick
 	asOf, ok := l.clock.AsOf(down.Echo)
@@ -82,10 +85,10 @@
 	now := clock.Now()
 	for _, e := range down.Evidence {
 		look := lookFromWire(e, asOf)
-		look.SameDataCentre = l.near && l.nearObserver(look.Observer)
+		look.SameDataCentre = l.sameDataCentre && l.observerInSameDataCentre(look.Observer)
 		l.fleet.Looks.Put(look, now)
 	}
-	l.takeMembers(down.Members, asOf)
+	l.receiveMembers(down.Members, asOf)
 	for _, a := range down.Alive {
 		l.fleet.Members.Heard(a.Vm, a.Incarnation, asOf.Add(-millis(a.AgeMs)))
 	}
@@ -93,7 +96,7 @@
 	return asOf, true
 }
 
-func (l *LinkClient) takeMembers(members []*peerpb.Member, asOf time.Time) {
+func (l *LinkClient) receiveMembers(members []*peerpb.Member, asOf time.Time) {
 	self := l.fleet.Members.Self(asOf)
 	for _, m := range members {
 		if m.Vm != self.VM {
@@ -102,12 +105,13 @@
 	}
 }
 
-func (l *LinkClient) nearObserver(observer string) bool {
+func (l *LinkClient) observerInSameDataCentre(observer string) bool {
 	m, ok := l.fleet.Members.Get(ObserverVM(observer))
 	return ok && m.DataCentre == l.fleet.Members.Self(clock.Now()).DataCentre
 }
 
-// header starts a message; see linkServer.header for why the echo is read before the clock.
+// header returns a message with its header fields set, and its time. See linkServer.header for why the echo is
+// read before the clock.
 func (l *LinkClient) header() (*peerpb.Up, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,20 +130,20 @@
 		if err := l.stream.Send(up); err != nil {
 			return err
 		}
-		if !l.near {
-			changed = nil // only relays of the own data centre need what this node observes
+		if !l.sameDataCentre {
+			changed = nil // only relays in the same data centre use this node's observations
 		}
 		if loop.SleepOrWake(ctx, l.fleet.Heartbeat, changed) {
-			loop.Sleep(ctx, upGap)
+			loop.Sleep(ctx, minSendInterval)
 		}
 	}
 	return ctx.Err()
 }
 
-// ObserverName names an observer: its VM and incarnation.
+// ObserverName returns the name of the observer that runs on m: its VM and incarnation, separated by a slash.
 func ObserverName(m membership.Member) string { return m.VM + "/" + m.Incarnation }
 
-// ObserverVM returns the VM of an observer's name.
+// ObserverVM returns the VM part of an observer's name.
 func ObserverVM(observer string) string {
 	for i := range observer {
 		if observer[i] == '/' {
--- a/internal/peer/link_server.go
+++ b/internal/peer/link_server.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// memberRefresh is how often it is told when each member was last heard.
-	memberRefresh = 1500 * time.Millisecond
-	// memberResend is how often every live member is sent whole all the same, so that nothing missed stays missed.
-	memberResend = 15 * time.Second
+	// memberAgeInterval is how often a link sends the time since each member was last heard from.
+	memberAgeInterval = 1500 * time.Millisecond
+	// memberResendInterval is how often a link sends the full entry of every live member, changed or not, so that
+	// a lost update is repaired.
+	memberResendInterval = 15 * time.Second
 )
 
-// linkServer is the relay's side of one link.
+// linkServer is the relay's side of a link: the stream from one node.
 type linkServer struct {
 	fleet  *Fleet
 	stream peerpb.DRPCPeer_LinkStream
@@ -30,22 +31,22 @@
 	clock freshness.Clock
 	echo  uint64
 
-	// what has been sent, for the sending goroutine only
-	objects   uint64
-	looks     uint64
-	members   uint64
-	refreshed time.Time
-	resent    time.Time
+	// Last sequence numbers and times sent to the peer. Only the sending goroutine uses them.
+	sentObjects   uint64
+	sentLooks     uint64
+	sentMembers   uint64
+	agesSentAt    time.Time
+	membersSentAt time.Time
 }
 
-// Link implements the drpc service.
+// Link implements peerpb.DRPCPeerServer. It returns when the stream ends.
 func (s *Server) Link(stream peerpb.DRPCPeer_LinkStream) error {
 	l := &linkServer{fleet: s.fleet, stream: stream}
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	l.take(first)
+	l.receive(first)
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
 	go func() {
@@ -55,20 +56,20 @@
 			if err != nil {
 				return
 			}
-			l.take(up)
+			l.receive(up)
 		}
 	}()
 	return l.run(ctx)
 }
 
-// run sends at each heartbeat, and sooner when the state has changed. Heartbeats of all links fall together, so
-// that a relay wakes once for them all.
+// run sends a message at each heartbeat, and earlier if a state object has changed. Heartbeats are aligned to
+// multiples of the interval, so that a relay wakes once for all its links.
 func (l *linkServer) run(ctx context.Context) error {
 	due := clock.Now()
 	for {
 		changed := l.fleet.Mirror.Changed()
-		if l.fleet.Mirror.Sequence() != l.objects {
-			due = earliest(due, clock.Now().Add(upGap))
+		if l.fleet.Mirror.Sequence() != l.sentObjects {
+			due = earliest(due, clock.Now().Add(minSendInterval))
 			changed = nil
 		}
 		if loop.SleepOrWake(ctx, clock.Until(due), changed) {
@@ -91,14 +92,15 @@
 	return b
 }
 
-func (l *linkServer) near() bool {
+func (l *linkServer) peerInSameDataCentre() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peer.DataCentre == l.fleet.Members.Self(clock.Now()).DataCentre
 }
 
-// heard takes in the header of a message and returns the instant its content counts from.
-func (l *linkServer) heard(up *peerpb.Up) (time.Time, bool) {
+// receiveHeader applies the header of a message and returns the time from which the ages in the message are
+// counted, or false if the message echoes no known tick.
+func (l *linkServer) receiveHeader(up *peerpb.Up) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.echo = up.Tick
@@ -112,13 +114,13 @@
 	return asOf, ok
 }
 
-func (l *linkServer) take(up *peerpb.Up) {
-	asOf, ok := l.heard(up)
+func (l *linkServer) receive(up *peerpb.Up) {
+	asOf, ok := l.receiveHeader(up)
 	if !ok {
 		return
 	}
 	l.fleet.Contact.Heard(asOf)
-	if !l.near() {
+	if !l.peerInSameDataCentre() {
 		return
 	}
 	now := clock.Now()
@@ -132,8 +134,9 @@
 	}
 }
 
-// header starts a message. Its echo is read before the clock: ages in the message are counted to that instant,
-// and the other side counts them from the sending of the echoed tick, which must not be later.
+// header returns a message with its header fields set, and its time. The echo is read before the clock: ages in
+// the message are relative to the returned time, but the peer counts them from the time it sent the echoed tick,
+// which must not be later.
 func (l *linkServer) header() (*peerpb.Down, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,8 +147,8 @@
 
 func (l *linkServer) send() error {
 	down, now := l.header()
-	objects, sequence := l.fleet.Mirror.Since(l.objects)
-	l.objects = sequence
+	objects, sequence := l.fleet.Mirror.Since(l.sentObjects)
+	l.sentObjects = sequence
 	for _, o := range objects {
 		down.Objects = append(down.Objects, objectToWire(o))
 	}
@@ -154,19 +157,20 @@
 	return l.stream.Send(down)
 }
 
-// addLooks adds the changed looks: all to nodes of the own data centre, the own data centre's to others.
+// addLooks adds the observations that have changed. Peers in this data centre get those of all data centres,
+// other peers only those made in this data centre. A peer's own observations are not sent back to it.
 func (l *linkServer) addLooks(down *peerpb.Down, now time.Time) {
-	looks, sequence := l.fleet.Looks.Since(l.looks)
-	l.looks = sequence
-	near := l.near()
+	looks, sequence := l.fleet.Looks.Since(l.sentLooks)
+	l.sentLooks = sequence
+	near := l.peerInSameDataCentre()
 	for _, look := range looks {
-		if (near || look.SameDataCentre) && !l.own(look) {
+		if (near || look.SameDataCentre) && !l.observedByPeer(look) {
 			down.Evidence = append(down.Evidence, lookToWire(look, now))
 		}
 	}
 }
 
-func (l *linkServer) own(look evidence.Observation) bool {
+func (l *linkServer) observedByPeer(look evidence.Observation) bool {
 	return ObserverVM(look.Observer) == l.peerVM()
 }
 
@@ -176,25 +180,27 @@
 	return l.peer.VM
 }
 
-// addMembers adds the members that changed, and now and then when each was last heard.
+// addMembers adds the members that have changed, all live members every memberResendInterval, and the time since
+// each live member was last heard from every memberAgeInterval. Peers in other data centres get only the members
+// of this one.
 func (l *linkServer) addMembers(down *peerpb.Down, now time.Time) {
-	changed, sequence := l.fleet.Members.Since(l.members, now)
-	l.members = sequence
-	if now.Sub(l.resent) >= memberResend {
+	changed, sequence := l.fleet.Members.Since(l.sentMembers, now)
+	l.sentMembers = sequence
+	if now.Sub(l.membersSentAt) >= memberResendInterval {
 		changed = l.fleet.Members.Live(now)
-		l.resent = now
+		l.membersSentAt = now
 	}
 	self := l.fleet.Members.Self(now)
-	near := l.near()
+	near := l.peerInSameDataCentre()
 	for _, m := range changed {
 		if near || m.DataCentre == self.DataCentre {
 			down.Members = append(down.Members, memberToWire(m, now))
 		}
 	}
-	if now.Sub(l.refreshed) < memberRefresh {
+	if now.Sub(l.agesSentAt) < memberAgeInterval {
 		return
 	}
-	l.refreshed = now
+	l.agesSentAt = now
 	for _, m := range l.fleet.Members.Live(now) {
 		if near || m.DataCentre == self.DataCentre {
 			down.Alive = append(down.Alive, &peerpb.Alive{Vm: m.VM, Incarnation: m.Incarnation, AgeMs: ageMillis(m.Heard, now)})
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -9,7 +9,8 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// Outbox holds the observer's latest look at each domain until every link has sent it.
+// Outbox holds this node's latest observation of each domain, numbered so that each link can send those it
+// has not sent yet.
 type Outbox struct {
 	mu       sync.Mutex
 	sequence uint64
@@ -28,7 +29,7 @@
 	return &Outbox{entries: make(map[string]outboxEntry), changed: make(chan struct{})}
 }
 
-// Put replaces the look at its domain.
+// Put stores look as the latest observation of its domain and wakes the waiting links.
 func (o *Outbox) Put(look evidence.Observation, vms map[string]replica.VMView) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,13 +39,15 @@
 	o.changed = make(chan struct{})
 }
 
-// Drop forgets a domain this node no longer observes.
+// Drop removes a domain that this node no longer observes.
 func (o *Outbox) Drop(domain string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.entries, domain)
 }
 
+// since returns the observations stored after sequence, the current sequence, and a channel that is closed at
+// the next Put.
 func (o *Outbox) since(sequence uint64, now time.Time) ([]*peerpb.DomainEvidence, uint64, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/peer/part_source.go
+++ b/internal/peer/part_source.go
@@ -4,8 +4,8 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// PartSource finds parts of the configuration by object key.
+// PartSource looks up parts of the configuration by object key.
 type PartSource interface {
-	// Part returns the object, and false when it is not held here.
+	// Part returns the object, or false if this node does not have it.
 	Part(key string) (infra.Object, bool)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -10,28 +10,28 @@
 	"moorrun.dev/moorrun/internal/peer/peerpb"
 )
 
-// Server answers other nodes.
+// Server handles the streams and calls of other nodes.
 type Server struct {
 	fleet     *Fleet
 	parts     PartSource
 	allocator Allocator
 }
 
-// NewServer returns a Server that shares fleet.
+// NewServer returns a Server that exchanges the state in fleet with its peers.
 func NewServer(fleet *Fleet, parts PartSource, allocator Allocator) *Server {
 	return &Server{fleet, parts, allocator}
 }
 
-// Serve answers on lis until ctx ends.
+// Serve accepts connections on lis until ctx ends.
 func (s *Server) Serve(ctx context.Context, lis net.Listener) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, s); err != nil {
 		return err
 	}
-	return drpcserver.New(mux).Serve(ctx, listener{lis, idleHeartbeats * s.fleet.Heartbeat})
+	return drpcserver.New(mux).Serve(ctx, idleTimeoutListener{lis, idleTimeoutHeartbeats * s.fleet.Heartbeat})
 }
 
-// Parts implements the drpc service.
+// Parts implements peerpb.DRPCPeerServer. Parts that this node does not have are left out of the reply.
 func (s *Server) Parts(_ context.Context, request *peerpb.PartsRequest) (*peerpb.PartsReply, error) {
 	reply := &peerpb.PartsReply{}
 	for _, key := range request.Keys {
@@ -42,7 +42,7 @@
 	return reply, nil
 }
 
-// Demand implements the drpc service.
+// Demand implements peerpb.DRPCPeerServer.
 func (s *Server) Demand(ctx context.Context, request *peerpb.DemandRequest) (*peerpb.DemandReply, error) {
 	return s.allocator.Demand(ctx, request), nil
 }
