--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// drainSpread is how long it takes until every node knows that this one drains.
-	drainSpread = 2 * time.Second
-	// finishLimit bounds the wait for requests in flight.
-	finishLimit      = 10 * time.Minute
-	followDrainEvery = 500 * time.Millisecond
-	unregisterWait   = time.Second
-	registeredEvery  = 10 * time.Second
+	// drainPropagationDelay is the time after which every node knows that this node is draining.
+	drainPropagationDelay = 2 * time.Second
+	// drainTimeout is the longest wait for requests in flight to complete at shutdown.
+	drainTimeout              = 10 * time.Minute
+	drainCheckInterval        = 500 * time.Millisecond
+	unregisterTimeout         = time.Second
+	registrationCheckInterval = 10 * time.Second
 )
 
-// register writes this node's object, so that others find it, and writes it again if it is removed. An earlier
-// one of the same VM is replaced.
+// register writes this node's registration object, by which other nodes find it, and writes it again if it is
+// removed. It replaces an earlier registration of the same VM.
 func (n *Node) register(ctx context.Context) error {
 	self := n.fleet.Members.Self(clock.Now())
 	key := keys.Node(self.DataCentre, self.VM)
@@ -35,7 +35,7 @@
 	wait.MaxInterval = 10 * time.Second
 	registered := false
 	for ctx.Err() == nil && !n.stopping.Load() {
-		pause := registeredEvery
+		pause := registrationCheckInterval
 		if o, ok := n.fleet.Mirror.Get(key); registered && ok && o.Version > 0 {
 			wait.Reset()
 		} else if registered = n.putSelf(ctx, key, self); !registered {
@@ -46,6 +46,7 @@
 	return nil
 }
 
+// putSelf writes the registration object once and reports whether the write was applied.
 func (n *Node) putSelf(ctx context.Context, key string, self membership.Member) bool {
 	o, err := n.objects.Get(ctx, key)
 	if err != nil && !errors.Is(err, infra.ErrNotFound) {
@@ -59,9 +60,9 @@
 	return true
 }
 
-// unregister removes the object again, unless a successor has replaced it.
+// unregister deletes this node's registration object, unless a later process on the same VM has replaced it.
 func (n *Node) unregister() {
-	ctx, cancel := context.WithTimeout(context.Background(), unregisterWait)
+	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
 	self := n.fleet.Members.Self(clock.Now())
 	key := keys.Node(self.DataCentre, self.VM)
@@ -71,33 +72,34 @@
 	}
 }
 
-// followDrains takes the node out of the address answers while an operator has drained it.
-func (n *Node) followDrains(ctx context.Context) error {
-	loop.Every(ctx, followDrainEvery, func(time.Time) {
-		wanted := n.stopping.Load() || n.drains.Read().Has(n.settings.VM)
-		if wanted != n.draining() {
-			n.fleet.Members.Update(func(m *membership.Member) { m.Draining = wanted })
-			_ = level.Info(n.logger).Log("msg", "draining", "on", wanted)
+// syncDraining marks this node as draining while an operator has drained it or it is stopping. A draining node is
+// left out of the address answers given to callers.
+func (n *Node) syncDraining(ctx context.Context) error {
+	loop.Every(ctx, drainCheckInterval, func(time.Time) {
+		shouldDrain := n.stopping.Load() || n.drains.Read().Has(n.settings.VM)
+		if shouldDrain != n.draining() {
+			n.fleet.Members.Update(func(m *membership.Member) { m.Draining = shouldDrain })
+			_ = level.Info(n.logger).Log("msg", "draining", "on", shouldDrain)
 		}
 	})
 	return nil
 }
 
-// shutdown drains the node and stops its parts.
+// shutdown drains the node, waits for requests in flight, and stops its servers and background tasks.
 func (n *Node) shutdown() error {
 	n.stopping.Store(true)
 	n.fleet.Members.Update(func(m *membership.Member) { m.Draining = true })
 	_ = level.Info(n.logger).Log("msg", "stopping", "in_flight", n.entry.Inflight())
-	time.Sleep(drainSpread + n.settings.AddressLifetime())
+	time.Sleep(drainPropagationDelay + n.settings.AddressLifetime())
 	n.entry.Drain()
-	ctx, cancel := context.WithTimeout(context.Background(), finishLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	err := n.entry.Shutdown(ctx)
 	for n.entry.Inflight() > 0 && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 	n.unregister()
-	n.stop()
+	n.cancelRun()
 	err = errors.Join(err, n.admin.Shutdown(ctx))
 	_ = level.Info(n.logger).Log("msg", "stopped", "in_flight", n.entry.Inflight())
 	return err
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -7,10 +7,11 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-// listeners are the three sockets of a node.
+// listeners holds the listening sockets of a node, for callers, operators and peers.
 type listeners struct{ caller, admin, peer net.Listener }
 
-// listen opens the sockets. Where a told address leaves the port to the kernel, it is replaced by what was chosen.
+// listen opens the sockets. An advertised address with port 0 in s is replaced by the address that the socket got
+// from the kernel.
 func listen(s *settings.Settings) (l listeners, err error) {
 	if l.caller, err = listenOne(s.Listen.Caller, &s.CallerAddress); err != nil {
 		return l, err
@@ -22,10 +23,10 @@
 	return l, err
 }
 
-func listenOne(address string, told *string) (net.Listener, error) {
+func listenOne(address string, advertised *string) (net.Listener, error) {
 	lis, err := net.Listen("tcp", address)
-	if err == nil && strings.HasSuffix(*told, ":0") {
-		*told = lis.Addr().String()
+	if err == nil && strings.HasSuffix(*advertised, ":0") {
+		*advertised = lis.Addr().String()
 	}
 	return lis, err
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts the parts of a moorrund process together and runs them.
+// Package node assembles the components of a moorrund process and runs them.
 package node
 
 import (
@@ -44,64 +44,64 @@
 )
 
 const (
-	storeTimeout  = time.Second
-	engineTimeout = 400 * time.Millisecond
-	metricsEvery  = time.Second
-	sweepEvery    = 5 * time.Second
+	platformTimeout = time.Second
+	engineTimeout   = 400 * time.Millisecond
+	metricsInterval = time.Second
+	sweepInterval   = 5 * time.Second
 )
 
 // Node is one moorrund process.
 type Node struct {
-	settings *settings.Settings
-	logger   log.Logger
-	reporter *metrics.Reporter
-	closer   io.Closer
-
-	fleet     *peer.Fleet
-	drains    *drains.Reader
-	objects   infra.ObjectStore
-	calls     *httpcall.Client
-	caller    *peer.Caller
-	links     *relay.Links
-	watcher   *relay.Watcher
-	keeper    *inforce.Tracker
-	tenancies *tenancies
-	pruner    *holder.Pruner
-	orphans   *membership.Takeover
-	vms       *holder.VMWatch
-	observer  *observer.Observer
-	places    *places.Server
-	admission *admission.Admission
-	// serviceAdmission holds the requests that wait for plain services.
+	settings      *settings.Settings
+	logger        log.Logger
+	reporter      *metrics.Reporter
+	metricsCloser io.Closer
+
+	fleet        *peer.Fleet
+	drains       *drains.Reader
+	objects      infra.ObjectStore
+	calls        *httpcall.Client
+	caller       *peer.Caller
+	links        *relay.Links
+	watcher      *relay.Watcher
+	configKeeper *inforce.Tracker
+	leases       *leaseManager
+	pruner       *holder.Pruner
+	orphans      *membership.Takeover
+	vms          *holder.VMWatch
+	observer     *observer.Observer
+	places       *places.Server
+	admission    *admission.Admission
+	// serviceAdmission queues requests to plain services; admission queues those to models.
 	serviceAdmission *admission.Admission
 	once             *once.ClaimStore
 	entry            *entry.Server
 	admin            *admin.Server
-	peers            *peer.Server
+	peerServer       *peer.Server
 
 	listeners listeners
-	work      context.Context //nolint:containedctx // ends when the node stops, for work its parts start later
-	stop      context.CancelFunc
+	runCtx    context.Context //nolint:containedctx // canceled when the node stops; for work that components start later
+	cancelRun context.CancelFunc
 	stopping  atomic.Bool
 }
 
-// New takes the node's addresses and puts its parts together; nothing runs yet.
+// New opens the node's listening sockets and creates its components. Run starts them.
 func New(s *settings.Settings, logger log.Logger) (*Node, error) {
 	l, err := listen(s)
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{settings: s, logger: logger, reporter: metrics.NewReporter(), listeners: l}
-	n.work, n.stop = context.WithCancel(context.Background())
+	n.runCtx, n.cancelRun = context.WithCancel(context.Background())
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "moorrun", Reporter: n.reporter, Separator: "_", Tags: map[string]string{"data_centre": s.DataCentre},
-	}, metricsEvery)
-	n.closer = closer
+	}, metricsInterval)
+	n.metricsCloser = closer
 	checker := invariant.NewChecker(logger, scope)
 	n.buildPlatform()
 	n.buildFleet()
-	current := func() *config.Config { return n.keeper.Current() }
-	n.keeper = inforce.NewTracker(n.fleet.Mirror, partSource{n.caller, n.links, n.objects}, checker, logger, n.inForce)
+	current := func() *config.Config { return n.configKeeper.Current() }
+	n.configKeeper = inforce.NewTracker(n.fleet.Mirror, partSource{n.caller, n.links, n.objects}, checker, logger, n.configChanged)
 	book := domains.NewBook(n.fleet.Mirror)
 	n.drains = drains.NewReader(n.fleet.Mirror)
 	router := routing.New(n.drains, book, n.fleet.Looks, current)
@@ -115,14 +115,14 @@
 	n.observer = observer.New(n.fleet, engine, book, current, n.orphans, s.Poll(), s.Evidence())
 	services := routing.NewServices(n.drains, current)
 	n.places = places.NewServer(n.fleet.Members, router, services, current, checker)
-	n.peers = peer.NewServer(n.fleet, n.keeper, n.places)
+	n.peerServer = peer.NewServer(n.fleet, n.configKeeper, n.places)
 	var asker admission.AllocatorClient = places.NewClient(n.fleet.Members, current, n.places, n.caller)
 	if s.PlacesPolicy == settings.PlacesSplit {
 		asker = places.NewSplitter(n.fleet.Members, current, n.places)
 	}
-	n.admission = admission.New(n.work, asker, router)
+	n.admission = admission.New(n.runCtx, asker, router)
 	n.admission.LengthOnly = s.QueuePolicy == settings.QueueFIFO
-	n.serviceAdmission = admission.New(n.work, asker, services)
+	n.serviceAdmission = admission.New(n.runCtx, asker, services)
 	n.once = once.NewClaimStore(time.Now)
 	losses := holder.NewLossMeter()
 	n.buildHolder(book, engine, current, checker, losses)
@@ -149,7 +149,7 @@
 func (n *Node) buildPlatform() {
 	s := n.settings
 	n.calls = httpcall.NewClient()
-	n.objects = rest.NewObjectStore(s.Platform.ObjectAPI, n.calls, rest.NewBudget(s.StoreReads, s.StoreWrites), storeTimeout)
+	n.objects = rest.NewObjectStore(s.Platform.ObjectAPI, n.calls, rest.NewBudget(s.StoreReads, s.StoreWrites), platformTimeout)
 }
 
 func (n *Node) buildFleet() {
@@ -169,14 +169,14 @@
 
 func (n *Node) buildHolder(book *domains.Book, engine infra.Engine, current func() *config.Config, checker *invariant.Checker, losses *holder.LossMeter) {
 	s := n.settings
-	n.tenancies = &tenancies{node: n, held: make(map[string]*holder.Keeper)}
+	n.leases = &leaseManager{node: n, keepers: make(map[string]*holder.Keeper)}
 	n.vms = holder.NewVMWatch(
-		rest.NewVMList(s.Platform.VMList, n.calls, storeTimeout),
-		rest.NewWeightStore(s.Platform.WeightStore, n.calls, storeTimeout), n.tenancies.anyHeld)
-	n.pruner = &holder.Pruner{Active: n.tenancies.anyHeld, Objects: n.objects, Mirror: n.fleet.Mirror, Members: n.fleet.Members, Logger: n.logger}
+		rest.NewVMList(s.Platform.VMList, n.calls, platformTimeout),
+		rest.NewWeightStore(s.Platform.WeightStore, n.calls, platformTimeout), n.leases.holdsAny)
+	n.pruner = &holder.Pruner{Active: n.leases.holdsAny, Objects: n.objects, Mirror: n.fleet.Mirror, Members: n.fleet.Members, Logger: n.logger}
 	policy := replica.DefaultPolicy
 	policy.Reload = s.Reload()
-	n.tenancies.build = func(dataCentre string, k *holder.Keeper) *holder.Controller {
+	n.leases.newController = func(dataCentre string, k *holder.Keeper) *holder.Controller {
 		return &holder.Controller{
 			Keeper: k, Objects: n.objects, Engine: engine, Mirror: n.fleet.Mirror, Book: book, Drains: n.drains, Reports: n.fleet.Reports,
 			VMs: n.vms, Config: current, Demand: n.places.Waiting, Checker: checker, Logger: n.logger, VM: s.VM,
@@ -185,15 +185,17 @@
 	}
 }
 
-func (n *Node) inForce(c *config.Config) {
+// configChanged records the revision of a configuration that has come into force in this node's member entry.
+func (n *Node) configChanged(c *config.Config) {
 	n.fleet.Members.Update(func(m *membership.Member) { m.Revision = c.Revision })
 }
 
 func (n *Node) draining() bool { return n.fleet.Members.Self(clock.Now()).Draining }
 
+// ready reports whether the node is ready to serve, and if not, why.
 func (n *Node) ready() (bool, string) {
 	switch {
-	case n.keeper.Current() == nil:
+	case n.configKeeper.Current() == nil:
 		return false, "no configuration is in force"
 	case n.draining():
 		return false, "draining"
@@ -202,40 +204,42 @@
 	}
 }
 
-// Run serves until ctx ends, then drains: no address answer names the node any more, callers who hold one
-// are served until it has run out, and requests in flight are finished.
+// Run serves until ctx ends, then drains the node: address answers no longer name it, callers with an earlier
+// address answer are served until that answer expires, and requests in flight are completed.
 func (n *Node) Run(ctx context.Context) error {
 	l := n.listeners
-	// Without a level of the filter's own, this line is written at every log level.
+	// The level is passed as a plain string, which the level filter does not recognize, so that this line is
+	// written at every log level.
 	_ = n.logger.Log("level", "info", "msg", "started", "caller", n.settings.CallerAddress, "admin", n.settings.AdminAddress,
 		"peer", n.settings.PeerAddress, "peer_listen", l.peer.Addr().String())
 	var g errgroup.Group
 	g.Go(func() error { return n.entry.Serve(l.caller) })
 	g.Go(func() error { return n.admin.Serve(l.admin) })
-	g.Go(func() error { return ignoreEnd(n.work, n.peers.Serve(n.work, l.peer)) })
+	g.Go(func() error { return ignoreErrorAfterEnd(n.runCtx, n.peerServer.Serve(n.runCtx, l.peer)) })
 	for _, run := range []func(context.Context) error{
-		n.links.Run, n.watcher.Run, n.keeper.Run, n.tenancies.Run, n.vms.Run, n.observer.Run,
-		n.register, n.pruner.Run, n.sweep, n.followDrains, n.places.Run,
+		n.links.Run, n.watcher.Run, n.configKeeper.Run, n.leases.Run, n.vms.Run, n.observer.Run,
+		n.register, n.pruner.Run, n.sweep, n.syncDraining, n.places.Run,
 	} {
-		g.Go(func() error { return run(n.work) })
+		g.Go(func() error { return run(n.runCtx) })
 	}
 	g.Go(func() error { <-ctx.Done(); return n.shutdown() })
 	err := g.Wait()
 	n.admission.Wait()
 	n.serviceAdmission.Wait()
-	return errors.Join(err, n.caller.Close(), n.closer.Close())
+	return errors.Join(err, n.caller.Close(), n.metricsCloser.Close())
 }
 
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreErrorAfterEnd returns err, or nil if ctx has ended.
+func ignoreErrorAfterEnd(ctx context.Context, err error) error {
 	if ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-// sweep forgets what has grown old.
+// sweep periodically removes expired entries from the node's tables.
 func (n *Node) sweep(ctx context.Context) error {
-	loop.Every(ctx, sweepEvery, func(now time.Time) {
+	loop.Every(ctx, sweepInterval, func(now time.Time) {
 		n.calls.Sweep()
 		n.once.Sweep()
 		n.fleet.Looks.Sweep(now)
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -11,8 +11,8 @@
 
 const partsTimeout = time.Second
 
-// partSource fetches parts from linked relays, and from the platform when this node is a relay or
-// no relay has them.
+// partSource fetches parts of the configuration from linked relays. It fetches parts that no linked relay has, and
+// all parts if this node is a relay itself, from the platform's object store.
 type partSource struct {
 	caller  *peer.Caller
 	links   *relay.Links
