--- a/internal/accept/head.go
+++ b/internal/accept/head.go
@@ -2,18 +2,19 @@
 
 import "slices"
 
-// maxOperations is how many past operations the head remembers, so that a lost answer is settled
-// even after other operators have gone on.
+// maxOperations is the number of past operations that the head lists. An operator whose answer was lost can look up
+// the operation's outcome there, even after other operators have applied further changes.
 const maxOperations = 256
 
-// Head is the object whose conditional update accepts a configuration.
+// Head is the object that lists the parts of the accepted configuration. A configuration is accepted by a
+// conditional update of this object.
 type Head struct {
-	Revision   int64               `json:"revision"` // only grows; 0 is no configuration
+	Revision   int64               `json:"revision"` // increases with each accepted operation; 0 means no configuration
 	Parts      map[string]*PartRef `json:"parts"`
-	Operations []Operation         `json:"operations"` // the latest last
+	Operations []Operation         `json:"operations"` // oldest first
 }
 
-// Find returns the operation with that id.
+// Find returns the listed operation with the given id, or false if there is none.
 func (h *Head) Find(id string) (Operation, bool) {
 	i := slices.IndexFunc(h.Operations, func(o Operation) bool { return o.ID == id })
 	if i < 0 {
@@ -22,7 +23,8 @@
 	return h.Operations[i], true
 }
 
-// next returns the head that accepts the operation on top of h.
+// next returns the head that follows h once op is accepted, with the changed parts replaced and the removed ones
+// left out. It sets the revision of each changed part.
 func (h *Head) next(op Operation, changed map[string]*PartRef, removed []string) *Head {
 	n := &Head{Revision: h.Revision + 1, Parts: make(map[string]*PartRef, len(h.Parts))}
 	for name, ref := range h.Parts {
--- a/internal/accept/operation.go
+++ b/internal/accept/operation.go
@@ -1,6 +1,6 @@
 package accept
 
-// Operation is one accepted apply.
+// Operation is an accepted apply request.
 type Operation struct {
 	ID       string `json:"id"`
 	Revision int64  `json:"revision"`
--- a/internal/accept/part_ref.go
+++ b/internal/accept/part_ref.go
@@ -1,8 +1,8 @@
 package accept
 
-// PartRef points to one part of the configuration in force.
+// PartRef refers to the stored content of one part of the accepted configuration.
 type PartRef struct {
-	Key      string `json:"key"`      // object that holds the part
-	Hash     string `json:"hash"`     // SHA-256 of its content
-	Revision int64  `json:"revision"` // at which it last changed
+	Key      string `json:"key"`      // key of the object that holds the part's content
+	Hash     string `json:"hash"`     // SHA-256 of the part's content
+	Revision int64  `json:"revision"` // revision at which the part last changed
 }
--- a/internal/accept/request.go
+++ b/internal/accept/request.go
@@ -2,12 +2,12 @@
 
 import "moorrun.dev/moorrun/internal/config"
 
-// Request asks to accept a set of parts.
+// Request is an operator's request to change parts of the configuration.
 type Request struct {
-	Operation string       // unique id, the same when the request is sent again
-	Base      int64        // revision it was drawn from
-	Changes   config.Set   // parts to put in force
-	Remove    []string     // names of parts to take out
-	Scope     config.Scope // what the operator may change
-	By        string       // who asks, for messages
+	Operation string       // unique id; a repeated request carries the same one
+	Base      int64        // revision that the changes are based on
+	Changes   config.Set   // parts to add or replace
+	Remove    []string     // names of parts to remove
+	Scope     config.Scope // parts that the operator may change
+	By        string       // name of the operator, for messages
 }
--- a/internal/accept/result.go
+++ b/internal/accept/result.go
@@ -2,29 +2,29 @@
 
 import "moorrun.dev/moorrun/internal/config"
 
-// Status is how an apply ended.
+// Status is the outcome of an apply request.
 type Status string
 
 const (
-	// Accepted means the set is the configuration from Revision on.
+	// Accepted means that the requested configuration is accepted as of Revision.
 	Accepted Status = "accepted"
-	// Unchanged means the set is in force already.
+	// Unchanged means that the requested configuration equals the accepted one.
 	Unchanged Status = "unchanged"
-	// Conflict means another operator changed the same parts first.
+	// Conflict means that another operator has changed the same parts since the request's base revision.
 	Conflict Status = "conflict"
-	// Invalid means the set was refused for its Problems.
+	// Invalid means that the request was refused for the reasons in Problems.
 	Invalid Status = "invalid"
-	// Unknown means the store did not say; ask again with the same operation.
+	// Unknown means that the store has not confirmed an outcome; repeat the request with the same operation id.
 	Unknown Status = "unknown"
 )
 
-// Result is the answer to a Request.
+// Result is the outcome of a Request, as returned to the operator.
 type Result struct {
 	Status    Status          `json:"status"`
 	Operation string          `json:"operation"`
-	Revision  int64           `json:"revision"` // accepted, or the winner's in a conflict
-	Winner    string          `json:"winner,omitempty"`
-	Changes   []config.Change `json:"changes,omitempty"` // what differs
+	Revision  int64           `json:"revision"`          // accepted revision; in a conflict, that of the current head
+	Winner    string          `json:"winner,omitempty"`  // in a conflict, the operation that changed the parts first
+	Changes   []config.Change `json:"changes,omitempty"` // differences from the accepted configuration
 	Problems  config.Problems `json:"problems,omitempty"`
 	Detail    string          `json:"detail,omitempty"`
 }
--- a/internal/accept/store.go
+++ b/internal/accept/store.go
@@ -1,5 +1,6 @@
-// Package accept moves the accepted configuration: parts are written first, then one conditional
-// update of the head object accepts them together or not at all.
+// Package accept stores the accepted configuration and applies changes to it atomically. The changed parts are
+// written first, each as an object of its own; one conditional update of the head object then accepts all of them
+// or none.
 package accept
 
 import (
@@ -21,7 +22,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("accept")
 
-// Store reads and moves the head.
+// Store reads the accepted configuration from the object store and applies changes to it.
 type Store struct {
 	objects infra.ObjectStore
 }
@@ -29,7 +30,7 @@
 // NewStore returns a Store over the platform's object API.
 func NewStore(objects infra.ObjectStore) *Store { return &Store{objects} }
 
-// Head returns the head and its object version, both zero before the first apply.
+// Head returns the head and its object version. Before the first apply it returns an empty head and version 0.
 func (s *Store) Head(ctx context.Context) (*Head, int64, error) {
 	o, err := s.objects.Get(ctx, keys.Head)
 	if errors.Is(err, infra.ErrNotFound) {
@@ -51,7 +52,7 @@
 	return h, nil
 }
 
-// Part fetches one part and checks it against its hash.
+// Part fetches one part and verifies its hash.
 func (s *Store) Part(ctx context.Context, name string, ref *PartRef) (config.Part, error) {
 	o, err := s.objects.Get(ctx, ref.Key)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return DecodePart(name, ref, o.Value)
 }
 
-// DecodePart parses the stored content of a part and checks it against its hash.
+// DecodePart parses the stored content of a part and verifies its hash.
 func DecodePart(name string, ref *PartRef, content json.RawMessage) (config.Part, error) {
 	p, problems := config.ParsePart(name, content)
 	if problems != nil {
@@ -72,7 +73,7 @@
 	return p, nil
 }
 
-// Set fetches every part of the head.
+// Set fetches all parts that the head refers to.
 func (s *Store) Set(ctx context.Context, h *Head) (config.Set, error) {
 	set := make(config.Set, len(h.Parts))
 	for name, ref := range h.Parts {
@@ -85,7 +86,7 @@
 	return set, nil
 }
 
-// Check returns what Apply would do, without writing.
+// Check returns the result that Apply would return for r, without writing anything.
 func (s *Store) Check(ctx context.Context, r Request) (Result, error) {
 	h, _, err := s.Head(ctx)
 	if err != nil {
@@ -95,10 +96,11 @@
 	if err != nil {
 		return Result{}, err
 	}
-	return judge(r, h, set), nil
+	return evaluate(r, h, set), nil
 }
 
-// Settle reports whether the operation was accepted, for an operator whose answer was lost.
+// Settle reports whether the operation with the given id was accepted, for an operator who did not receive the
+// answer. It returns status Unknown if the head does not list the operation.
 func (s *Store) Settle(ctx context.Context, operation string) (Result, error) {
 	h, _, err := s.Head(ctx)
 	if err != nil {
@@ -111,8 +113,8 @@
 		Detail: "not among the accepted operations; apply again with the same operation id to settle it"}, nil
 }
 
-// Apply accepts the request whole or not at all. When the store stops answering it tries until ctx
-// ends, and then returns Unknown: the same request sent again settles it.
+// Apply applies all changes of the request or none. While the store does not answer, it retries until ctx ends and
+// then returns status Unknown; repeating the request with the same operation id yields the actual outcome.
 func (s *Store) Apply(ctx context.Context, r Request) (Result, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = 20 * time.Millisecond
@@ -123,40 +125,43 @@
 		if err == nil {
 			return result, nil
 		}
-		if !worthRetry(err) && ctx.Err() == nil {
+		if !isRetryable(err) && ctx.Err() == nil {
 			return Result{}, err
 		}
 		select {
 		case <-ctx.Done():
-			return a.givenUp(err), nil
+			return a.unknownResult(err), nil
 		case <-time.After(wait.NextBackOff()):
 		}
 	}
 }
 
-// worthRetry reports whether the store was down, or a part was put out of force while we read it.
-func worthRetry(err error) bool {
+// isRetryable reports whether err means that the store was unavailable, or that a part was replaced and deleted
+// while it was being read.
+func isRetryable(err error) bool {
 	return errors.Is(err, infra.ErrUnavailable) || errors.Is(err, infra.ErrNotFound)
 }
 
-// attempt is one Apply over its retries.
+// attempt is the state of one Apply call across its retries.
 type attempt struct {
-	store   *Store
-	request Request
-	written map[string]string // part name → key already written
-	sent    bool              // a head update may have reached the store and may yet take effect
-	sentOn  int64             // object version that update was conditional on
+	store             *Store
+	request           Request
+	written           map[string]string // part name → key of the object already written
+	headUpdatePending bool              // whether a head update was sent that may still take effect
+	headUpdateVersion int64             // object version on which that update was conditional
 }
 
-func (a *attempt) givenUp(cause error) Result {
+// unknownResult returns the result for a request whose outcome is not known when its context ends.
+func (a *attempt) unknownResult(cause error) Result {
 	detail := "the store did not answer; nothing was accepted by this call: " + cause.Error()
-	if a.sent {
+	if a.headUpdatePending {
 		detail = "the store did not answer; send the same operation again to settle it: " + cause.Error()
 	}
 	return Result{Status: Unknown, Operation: a.request.Operation, Detail: detail}
 }
 
-// try returns a result, or an error worth another try.
+// try applies the request, starting over from the new head if another head update came first. It returns a result,
+// or an error after which Apply may call it again.
 func (a *attempt) try(ctx context.Context) (Result, error) {
 	r := a.request
 	for {
@@ -167,14 +172,14 @@
 		if op, ok := h.Find(r.Operation); ok {
 			return Result{Status: Accepted, Operation: r.Operation, Revision: op.Revision}, nil
 		}
-		if version != a.sentOn {
-			a.sent = false // the head has moved on, so that update can no longer take effect
+		if version != a.headUpdateVersion {
+			a.headUpdatePending = false // the head has changed, so that update can no longer take effect
 		}
 		set, err := a.store.Set(ctx, h)
 		if err != nil {
 			return Result{}, err
 		}
-		result := judge(r, h, set)
+		result := evaluate(r, h, set)
 		if result.Status != Accepted {
 			a.discard(ctx)
 			return result, nil
@@ -184,11 +189,11 @@
 			return Result{}, err
 		}
 		next := h.next(Operation{ID: r.Operation, By: r.By}, refs, r.Remove)
-		a.sent, a.sentOn = true, version
+		a.headUpdatePending, a.headUpdateVersion = true, version
 		outcome, _, err := a.store.objects.Put(ctx, keys.Head, next, version)
 		switch outcome {
 		case infra.Applied:
-			a.collect(ctx, h, next)
+			a.deleteUnreferenced(ctx, h, next)
 			result.Revision = next.Revision
 			return result, nil
 		case infra.Unknown:
@@ -201,8 +206,9 @@
 	}
 }
 
-// judge decides on the request against the head and set it would be put on.
-func judge(r Request, h *Head, set config.Set) Result {
+// evaluate returns the result of the request against the head h and its parts in set: whether it is permitted, in
+// conflict, valid, and a change at all.
+func evaluate(r Request, h *Head, set config.Set) Result {
 	result := Result{Status: Accepted, Operation: r.Operation, Revision: h.Revision}
 	merged := set.Merge(r.Changes, r.Remove)
 	result.Changes = config.Diff(set, merged)
@@ -217,9 +223,9 @@
 		result.Status = Invalid
 		return result
 	}
-	if late := changedSince(h, touched, r.Base); late != "" {
+	if winner := changedSince(h, touched, r.Base); winner != "" {
 		result.Status = Conflict
-		result.Winner = late
+		result.Winner = winner
 		return result
 	}
 	if problems := merged.Validate(); problems != nil {
@@ -233,7 +239,8 @@
 	return result
 }
 
-// changedSince describes the operation that changed one of the parts after base, or returns "".
+// changedSince describes the operation that changed one of the parts after revision base, or returns "" if none
+// has changed since.
 func changedSince(h *Head, parts []string, base int64) string {
 	for _, name := range parts {
 		ref, ok := h.Parts[name]
@@ -250,8 +257,8 @@
 	return ""
 }
 
-// writeParts writes the parts that differ from set. Their keys carry the operation, so that no other
-// head ever points to them and they can be deleted once they are out of force.
+// writeParts writes the parts that differ from set and returns references to them. Their keys contain the operation
+// id, so that only heads from this operation on refer to them and they can be deleted once they are replaced.
 func (a *attempt) writeParts(ctx context.Context, set config.Set) (map[string]*PartRef, error) {
 	refs := make(map[string]*PartRef)
 	for name, part := range a.request.Changes {
@@ -277,12 +284,13 @@
 	}
 	outcome, _, err := a.store.objects.Put(ctx, key, content, 0)
 	if outcome == infra.NotApplied && err == nil {
-		return a.verifyPart(ctx, key, part) // written by an earlier try of this operation
+		return a.verifyPart(ctx, key, part) // already written by an earlier try of this operation
 	}
 	return err
 }
 
-// verifyPart refuses an operation id that was used before for other content.
+// verifyPart returns an error if the object at key has other content than part, which means that the operation id
+// was already used for a different request.
 func (a *attempt) verifyPart(ctx context.Context, key string, part config.Part) error {
 	_, err := a.store.Part(ctx, part.Name(), &PartRef{Key: key, Hash: part.Hash()})
 	if errors.Is(err, infra.ErrUnavailable) {
@@ -294,8 +302,9 @@
 	return nil
 }
 
-// collect deletes the parts that the accepted head has put out of force; what it misses stays as waste only.
-func (a *attempt) collect(ctx context.Context, old, accepted *Head) {
+// deleteUnreferenced deletes the parts of the old head that the accepted head no longer refers to. A part that it
+// fails to delete takes up space but does no other harm.
+func (a *attempt) deleteUnreferenced(ctx context.Context, old, accepted *Head) {
 	for name, ref := range old.Parts {
 		if now, ok := accepted.Parts[name]; ok && now.Key == ref.Key {
 			continue
@@ -304,9 +313,10 @@
 	}
 }
 
-// discard deletes the parts of a refused request, unless an earlier send of it may yet be accepted.
+// discard deletes the parts written for a refused request, unless a head update sent earlier for this request may
+// still be accepted.
 func (a *attempt) discard(ctx context.Context) {
-	if a.sent {
+	if a.headUpdatePending {
 		return
 	}
 	for _, key := range a.written {
--- a/internal/accept/store_test.go
+++ b/internal/accept/store_test.go
@@ -18,22 +18,23 @@
 	_ "moorrun.dev/moorrun/internal/rapidseed"
 )
 
-// memory is an object store whose write answers are lost, before or after they take effect, as fate says.
-type memory struct {
+// memoryStore is an object store in memory that simulates lost answers to writes. fault decides for each write
+// whether its answer is lost, and whether the write takes effect all the same.
+type memoryStore struct {
 	infra.ObjectStore
-	mu      sync.Mutex
-	objects map[string]infra.Object
-	version int64
-	fate    func() int // 0: answered, 1: lost before, 2: lost after
-	onHead  func()     // called before each head update, to let another operator race
+	mu               sync.Mutex
+	objects          map[string]infra.Object
+	version          int64
+	fault            func() int // 0: answered; 1: lost before the write takes effect; 2: lost after
+	beforeHeadUpdate func()     // called once, before the next head update, to run a concurrent operation
 }
 
-func newMemory() *memory {
-	return &memory{objects: make(map[string]infra.Object), fate: func() int { return 0 }}
+func newMemoryStore() *memoryStore {
+	return &memoryStore{objects: make(map[string]infra.Object), fault: func() int { return 0 }}
 }
 
 // Get implements infra.ObjectStore.
-func (m *memory) Get(_ context.Context, key string) (infra.Object, error) {
+func (m *memoryStore) Get(_ context.Context, key string) (infra.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o, ok := m.objects[key]
@@ -44,20 +45,20 @@
 }
 
 // Put implements infra.ObjectStore.
-func (m *memory) Put(_ context.Context, key string, value any, ifVersion int64) (infra.Outcome, int64, error) {
-	if key == keys.Head && m.onHead != nil {
-		race := m.onHead
-		m.onHead = nil
-		race()
+func (m *memoryStore) Put(_ context.Context, key string, value any, ifVersion int64) (infra.Outcome, int64, error) {
+	if key == keys.Head && m.beforeHeadUpdate != nil {
+		hook := m.beforeHeadUpdate
+		m.beforeHeadUpdate = nil
+		hook()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	fate := m.fate()
-	if fate == 1 {
+	fault := m.fault()
+	if fault == 1 {
 		return infra.Unknown, 0, infra.ErrUnavailable
 	}
 	if m.objects[key].Version != ifVersion {
-		if fate == 2 {
+		if fault == 2 {
 			return infra.Unknown, 0, infra.ErrUnavailable
 		}
 		return infra.NotApplied, 0, nil
@@ -68,14 +69,14 @@
 	}
 	m.version++
 	m.objects[key] = infra.Object{Key: key, Version: m.version, Value: raw}
-	if fate == 2 {
+	if fault == 2 {
 		return infra.Unknown, 0, infra.ErrUnavailable
 	}
 	return infra.Applied, m.version, nil
 }
 
 // Delete implements infra.ObjectStore.
-func (m *memory) Delete(_ context.Context, key string, ifVersion int64) (infra.Outcome, error) {
+func (m *memoryStore) Delete(_ context.Context, key string, ifVersion int64) (infra.Outcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.objects[key].Version == ifVersion {
@@ -86,7 +87,7 @@
 
 var pool = config.Scope{Pool: true}
 
-func base() config.Set {
+func baseSet() config.Set {
 	return config.Set{
 		"pool":        {Pool: &config.Pool{Kind: config.KindPool, Operators: []config.Credential{{Name: "o", TokenSHA256: config.HashToken("o")}}, Shares: []config.Share{{Workspace: "a", Share: 1}, {Workspace: "b", Share: 1}}}},
 		"workspace/a": workspace("a", 1),
@@ -112,11 +113,11 @@
 	return result
 }
 
-func TestLoserOfARaceLearnsTheWinner(t *testing.T) {
-	m := newMemory()
+func TestConflictNamesWinningOperation(t *testing.T) {
+	m := newMemoryStore()
 	s := accept.NewStore(m)
-	qt.Assert(t, apply(t, s, accept.Request{Operation: "first", Changes: base(), Scope: pool}).Status, qt.Equals, accept.Accepted)
-	m.onHead = func() {
+	qt.Assert(t, apply(t, s, accept.Request{Operation: "first", Changes: baseSet(), Scope: pool}).Status, qt.Equals, accept.Accepted)
+	m.beforeHeadUpdate = func() {
 		r := apply(t, s, accept.Request{Operation: "winner", Base: 1, Changes: config.Set{"workspace/a": workspace("a", 7)}, Scope: pool, By: "anna"})
 		qt.Assert(t, r.Revision, qt.Equals, int64(2))
 	}
@@ -125,15 +126,15 @@
 	qt.Check(t, r.Winner, qt.Equals, "revision 2 by anna changed workspace/a (operation winner)")
 	qt.Check(t, r.Changes[0].From, qt.Equals, "7")
 	for key := range m.objects {
-		qt.Check(t, key, qt.Not(qt.Contains), "loser", qt.Commentf("the loser's parts are removed"))
+		qt.Check(t, key, qt.Not(qt.Contains), "loser", qt.Commentf("the parts of the refused request are deleted"))
 	}
 }
 
-func TestRaceInAnotherPartIsNoConflict(t *testing.T) {
-	m := newMemory()
+func TestConcurrentChangeOfAnotherPartIsNoConflict(t *testing.T) {
+	m := newMemoryStore()
 	s := accept.NewStore(m)
-	apply(t, s, accept.Request{Operation: "first", Changes: base(), Scope: pool})
-	m.onHead = func() {
+	apply(t, s, accept.Request{Operation: "first", Changes: baseSet(), Scope: pool})
+	m.beforeHeadUpdate = func() {
 		apply(t, s, accept.Request{Operation: "other", Base: 1, Changes: config.Set{"workspace/b": workspace("b", 7)}, Scope: pool})
 	}
 	r := apply(t, s, accept.Request{Operation: "mine", Base: 1, Changes: config.Set{"workspace/a": workspace("a", 8)}, Scope: pool})
@@ -141,29 +142,30 @@
 	qt.Check(t, r.Revision, qt.Equals, int64(3))
 }
 
-func TestUsedOperationIDIsNotTakenForOtherContent(t *testing.T) {
-	m := newMemory()
+func TestReusedOperationIDWithOtherContentIsRefused(t *testing.T) {
+	m := newMemoryStore()
 	s := accept.NewStore(m)
-	apply(t, s, accept.Request{Operation: "first", Changes: base(), Scope: pool})
+	apply(t, s, accept.Request{Operation: "first", Changes: baseSet(), Scope: pool})
 	m.objects[keys.Parts+"workspace.a/reused"] = infra.Object{Version: 99, Value: workspace("a", 3).Content()}
 	_, err := s.Apply(context.Background(), accept.Request{Operation: "reused", Base: 1, Changes: config.Set{"workspace/a": workspace("a", 4)}, Scope: pool})
 	qt.Assert(t, err, qt.ErrorMatches, ".*take a new operation id")
 }
 
-// TestEachOperationIsAcceptedOnce applies under lost answers; whatever was lost, every operation ends as one
-// revision, revisions only grow, and the head's parts can all be read.
+// TestEachOperationIsAcceptedOnce applies operations while answers to writes are lost, before or after the writes
+// take effect. Each operation must result in exactly one revision, revisions must only increase, and all parts that
+// the head refers to must be readable.
 func TestEachOperationIsAcceptedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMemory()
+		m := newMemoryStore()
 		s := accept.NewStore(m)
-		apply(t, s, accept.Request{Operation: "first", Changes: base(), Scope: pool})
-		fates := rapid.SliceOfN(rapid.IntRange(0, 3), 0, 12).Draw(t, "fates")
-		m.fate = func() int {
-			if len(fates) == 0 {
+		apply(t, s, accept.Request{Operation: "first", Changes: baseSet(), Scope: pool})
+		faults := rapid.SliceOfN(rapid.IntRange(0, 3), 0, 12).Draw(t, "faults")
+		m.fault = func() int {
+			if len(faults) == 0 {
 				return 0
 			}
-			f := fates[0] % 3
-			fates = fates[1:]
+			f := faults[0] % 3
+			faults = faults[1:]
 			return f
 		}
 		revision := int64(1)
@@ -172,20 +174,20 @@
 			r := apply(t, s, accept.Request{Operation: fmt.Sprint("op", i), Base: revision, Scope: pool,
 				Changes: config.Set{"workspace/" + name: workspace(name, 100+i)}})
 			if r.Status != accept.Accepted || r.Revision != revision+1 {
-				t.Fatalf("apply %d on revision %d: %+v", i, revision, r)
+				t.Fatalf("apply %d on revision %d: unexpected result %+v", i, revision, r)
 			}
 			revision = r.Revision
-			again := apply(t, s, accept.Request{Operation: fmt.Sprint("op", i), Base: 0, Scope: pool, Changes: config.Set{}})
-			if again.Revision != r.Revision {
-				t.Fatalf("sent again, operation %d is revision %d, not %d", i, again.Revision, r.Revision)
+			repeated := apply(t, s, accept.Request{Operation: fmt.Sprint("op", i), Base: 0, Scope: pool, Changes: config.Set{}})
+			if repeated.Revision != r.Revision {
+				t.Fatalf("repeated operation %d: got revision %d, want %d", i, repeated.Revision, r.Revision)
 			}
 		}
 		head, _, err := s.Head(context.Background())
 		if err != nil || head.Revision != revision {
-			t.Fatalf("head %+v, %v", head, err)
+			t.Fatalf("unexpected head %+v, error %v", head, err)
 		}
 		if _, err := s.Set(context.Background(), head); err != nil {
-			t.Fatalf("%v", err)
+			t.Fatalf("reading the parts of the head: %v", err)
 		}
 	})
 }
