--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is moorrund's command line.
+// Package daemon implements the command line of moorrund.
 package daemon
 
 import (
@@ -16,13 +16,14 @@
 	"moorrun.dev/moorrun/internal/version"
 )
 
-// Main runs moorrund and returns its exit code; platform makes the adapter of the platform that the gateway serves.
+// Main runs moorrund with args and returns its exit code. platform creates the adapter of the platform that the
+// gateway command serves.
 func Main(args []string, platform server.NewPlatform) int {
 	var file string
 	root := &cobra.Command{
 		Use: "moorrund --settings FILE", Short: "Serve callers and operators on one entry VM",
 		Args: cobra.NoArgs, Version: version.Version,
-		RunE: func(k *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := settings.Read(file)
 			if err != nil {
 				return &exitcode.Error{Code: exitcode.Usage, Err: err}
@@ -31,7 +32,7 @@
 			if err != nil {
 				return exitcode.With(err)
 			}
-			return exitcode.With(n.Run(k.Context()))
+			return exitcode.With(n.Run(cmd.Context()))
 		},
 	}
 	root.Flags().StringVar(&file, "settings", "", "JSON file with this process's settings")
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -14,24 +14,24 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-// settingsVariable names the settings file if the command line does not.
-const settingsVariable = "MOORRUN_CONFIG"
+// settingsEnvVar is the environment variable with the path of the settings file, used if --settings is not given.
+const settingsEnvVar = "MOORRUN_CONFIG"
 
-// newGateway returns the command that serves a platform's callers.
+// newGateway returns the gateway command, which serves the callers of a platform.
 func newGateway(platform server.NewPlatform) *cobra.Command {
 	var file string
-	k := &cobra.Command{
+	gatewayCmd := &cobra.Command{
 		Use: "gateway [--settings FILE]", Short: "Serve a platform's callers in front of its endpoints", Args: cobra.NoArgs,
-		RunE: func(k *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if file == "" {
-				file = os.Getenv(settingsVariable)
+				file = os.Getenv(settingsEnvVar)
 			}
 			s, err := settings.ReadGateway(file)
 			if err != nil {
 				return &exitcode.Error{Code: exitcode.Usage, Err: err}
 			}
 			out := eventlog.NewWriter(os.Stdout)
-			defer out.Close() //nolint:errcheck // nothing can be said of it any more
+			defer out.Close() //nolint:errcheck // the log is closed, so an error cannot be logged
 			logger := log.NewJSONLogger(out)
 			logger = level.NewFilter(logger, level.Allow(level.ParseDefault(s.LogLevel, level.InfoValue())))
 			logger = log.With(logger, "ts", log.TimestampFormat(time.Now, time.RFC3339Nano), "vm", s.VM)
@@ -40,9 +40,9 @@
 				return exitcode.With(err)
 			}
 			n.Reload(file)
-			return exitcode.With(n.Run(k.Context()))
+			return exitcode.With(n.Run(cmd.Context()))
 		},
 	}
-	k.Flags().StringVar(&file, "settings", "", "JSON file with this process's settings; $"+settingsVariable+" if it is not given")
-	return k
+	gatewayCmd.Flags().StringVar(&file, "settings", "", "JSON file with this process's settings; $"+settingsEnvVar+" if it is not given")
+	return gatewayCmd
 }
