--- a/internal/peer/link_server.go
+++ b/internal/peer/link_server.go
@@ -162,9 +162,9 @@
 func (l *linkServer) addLooks(down *peerpb.Down, now time.Time) {
 	looks, sequence := l.fleet.Looks.Since(l.sentLooks)
 	l.sentLooks = sequence
-	near := l.peerInSameDataCentre()
+	sameDataCentre := l.peerInSameDataCentre()
 	for _, look := range looks {
-		if (near || look.SameDataCentre) && !l.observedByPeer(look) {
+		if (sameDataCentre || look.SameDataCentre) && !l.observedByPeer(look) {
 			down.Evidence = append(down.Evidence, lookToWire(look, now))
 		}
 	}
@@ -191,9 +191,9 @@
 		l.membersSentAt = now
 	}
 	self := l.fleet.Members.Self(now)
-	near := l.peerInSameDataCentre()
+	sameDataCentre := l.peerInSameDataCentre()
 	for _, m := range changed {
-		if near || m.DataCentre == self.DataCentre {
+		if sameDataCentre || m.DataCentre == self.DataCentre {
 			down.Members = append(down.Members, memberToWire(m, now))
 		}
 	}
@@ -202,7 +202,7 @@
 	}
 	l.agesSentAt = now
 	for _, m := range l.fleet.Members.Live(now) {
-		if near || m.DataCentre == self.DataCentre {
+		if sameDataCentre || m.DataCentre == self.DataCentre {
 			down.Alive = append(down.Alive, &peerpb.Alive{Vm: m.VM, Incarnation: m.Incarnation, AgeMs: ageMillis(m.Heard, now)})
 		}
 	}
