--- a/internal/infra/engine.go
+++ b/internal/infra/engine.go
@@ -5,37 +5,37 @@
 	"errors"
 )
 
-// ErrFenced is returned by Order when the engine has obeyed a later generation.
-var ErrFenced = errors.New("order refused: the engine has obeyed a later generation")
+// ErrFenced is returned by Order when the engine has already accepted an order of a later generation.
+var ErrFenced = errors.New("order rejected: the engine has already accepted an order of a later generation")
 
-// EngineState is what a model engine reports of itself.
+// EngineState is the state that a model engine reports about itself.
 type EngineState struct {
 	VM         string   `json:"vm"`
 	Boot       string   `json:"boot"` // changes when the engine restarts
 	Group      string   `json:"group"`
-	GroupBirth int64    `json:"group_birth"`
+	GroupBirth int64    `json:"group_birth"` // generation at which the group's VMs or model last changed
 	Generation int64    `json:"generation"`
 	Role       Role     `json:"role"`
 	Model      string   `json:"model"`
 	Version    string   `json:"version"`
 	Adapters   []string `json:"adapters,omitempty"`
-	Ready      bool     `json:"ready"` // weights are loaded and the order is obeyed
+	Ready      bool     `json:"ready"` // the weights are loaded and the last order is carried out
 	Running    int      `json:"running"`
 	Waiting    int      `json:"waiting"`
-	LoadMillis int64    `json:"load_ms"` // how long the last load of weights took
+	LoadMillis int64    `json:"load_ms"` // duration of the last weight load, in milliseconds
 }
 
-// Engine controls model engines by their address.
+// Engine controls model engines, each identified by its address.
 type Engine interface {
-	// State asks the engine at address what it is doing.
+	// State returns the current state of the engine at address.
 	State(ctx context.Context, address string) (EngineState, error)
-	// Order tells the engine at address what to become; it returns before the load is done.
+	// Order sends the engine at address its desired state; it returns before the weights are loaded.
 	Order(ctx context.Context, address string, order Order) error
-	// Cancel stops the stream with that id at the engine.
+	// Cancel stops the response stream with ID stream at the engine at address.
 	Cancel(ctx context.Context, address, stream string) error
 }
 
-// InGroup reports whether the engine says it is in exactly that group.
+// InGroup reports whether the reported group, its birth generation, model and version all equal the arguments.
 func (s EngineState) InGroup(group string, birth int64, model, version string) bool {
 	return s.Group == group && s.GroupBirth == birth && s.Model == model && s.Version == version
 }
--- a/internal/infra/listing.go
+++ b/internal/infra/listing.go
@@ -1,7 +1,7 @@
 package infra
 
-// Listing is a consistent answer of List or Watch.
+// Listing is the result of List or Watch, consistent at one store version.
 type Listing struct {
 	Objects []Object `json:"objects"`
-	Version int64    `json:"version"` // the store version the listing is current at
+	Version int64    `json:"version"` // store version that the listing reflects
 }
--- a/internal/infra/order.go
+++ b/internal/infra/order.go
@@ -1,28 +1,28 @@
 package infra
 
-// Role is what a VM does in its replica group.
+// Role is the role of a VM in its replica group.
 type Role string
 
 const (
-	// RoleNone is a VM in no group.
+	// RoleNone is the role of a VM that is in no group.
 	RoleNone Role = ""
-	// RoleLeader answers requests for the group.
+	// RoleLeader is the role of the VM that receives and answers the requests of the group.
 	RoleLeader Role = "leader"
-	// RoleWorker computes for the leader.
+	// RoleWorker is the role of a VM that computes on behalf of the leader.
 	RoleWorker Role = "worker"
 )
 
-// Order states the wanted end of one VM. Repeating an order is harmless.
+// Order is the desired state of one VM. Orders are idempotent.
 type Order struct {
 	VM         string   `json:"vm"`
 	Domain     string   `json:"domain"`
-	Generation int64    `json:"generation"` // the domain assignment's generation: the fence
-	Group      string   `json:"group"`      // empty: leave any group; with a model, hold its weights as a spare
-	GroupBirth int64    `json:"group_birth"`
+	Generation int64    `json:"generation"`  // generation of the domain's assignment; engines reject orders of earlier generations
+	Group      string   `json:"group"`       // empty: be in no group; if Model is set, keep its weights loaded as a spare
+	GroupBirth int64    `json:"group_birth"` // generation at which the group's VMs or model last changed
 	Role       Role     `json:"role"`
 	Model      string   `json:"model"`
 	Version    string   `json:"version"`
 	Adapters   []string `json:"adapters,omitempty"`
-	Places     int      `json:"places"`
-	Members    []string `json:"members"` // addresses, leader first
+	Places     int      `json:"places"`  // number of requests that the group runs concurrently
+	Members    []string `json:"members"` // addresses of the group's VMs, leader first
 }
--- a/internal/infra/outcome.go
+++ b/internal/infra/outcome.go
@@ -1,18 +1,18 @@
 package infra
 
-// Outcome is what a writer knows about its conditional write.
+// Outcome is the result of a conditional write as known to the writer.
 type Outcome uint8
 
 const (
 	// Applied means the write took effect.
 	Applied Outcome = iota + 1
-	// NotApplied means the write was refused: the version had moved on.
+	// NotApplied means the write did not take effect, for example because the object was at another version.
 	NotApplied
-	// Unknown means the answer was lost: the write may have taken effect or still may.
+	// Unknown means no usable response arrived: the write may have taken effect or may still do so.
 	Unknown
 )
 
-// String returns a word for logs.
+// String returns the outcome in the form used in logs.
 func (o Outcome) String() string {
 	switch o {
 	case Applied:
--- a/internal/infra/rest/budget.go
+++ b/internal/infra/rest/budget.go
@@ -7,8 +7,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the calls one process makes to the object API. Calls marked urgent with
-// Urgent have a share of their own, so that lease renewal is never starved by the rest.
+// Budget limits the rate of the calls that one process makes to the object API. Calls marked with
+// Urgent have a reserve of their own, so that other calls cannot starve lease renewals.
 type Budget struct {
 	reads, writes             *rate.Limiter
 	urgentReads, urgentWrites *rate.Limiter
@@ -16,13 +16,13 @@
 
 type urgentKey struct{}
 
-// Urgent marks the calls made with the returned context as lease renewals.
+// Urgent returns a context whose calls may use the reserve for lease renewals.
 func Urgent(ctx context.Context) context.Context {
 	return context.WithValue(ctx, urgentKey{}, true)
 }
 
-// NewBudget allows that many reads and writes a second, with bursts of two seconds' worth,
-// and a quarter as much again for urgent calls.
+// NewBudget returns a Budget that allows the given numbers of reads and writes per second, with bursts of
+// two seconds' worth of calls, and a reserve of a further quarter of both rates for urgent calls.
 func NewBudget(readsPerSecond, writesPerSecond float64) *Budget {
 	limiter := func(r float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(r), int(2*r)+1) }
 	return &Budget{
@@ -31,10 +31,11 @@
 	}
 }
 
-func (b *Budget) read(ctx context.Context) error  { return pay(ctx, b.reads, b.urgentReads) }
-func (b *Budget) write(ctx context.Context) error { return pay(ctx, b.writes, b.urgentWrites) }
+func (b *Budget) read(ctx context.Context) error  { return waitForToken(ctx, b.reads, b.urgentReads) }
+func (b *Budget) write(ctx context.Context) error { return waitForToken(ctx, b.writes, b.urgentWrites) }
 
-func pay(ctx context.Context, common, urgent *rate.Limiter) error {
+// waitForToken takes a token from common. Urgent calls take it from urgent if common has none left.
+func waitForToken(ctx context.Context, common, urgent *rate.Limiter) error {
 	if ctx.Value(urgentKey{}) == nil {
 		return common.Wait(ctx)
 	}
--- a/internal/infra/rest/caller.go
+++ b/internal/infra/rest/caller.go
@@ -1,4 +1,4 @@
-// Package rest speaks to the platform over HTTP and JSON: one adapter for each interface of package platform.
+// Package rest implements the interfaces of package infra with JSON over HTTP.
 package rest
 
 import (
@@ -16,13 +16,15 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("platform")
 
-// caller sends one JSON request and decodes the JSON answer.
+// caller sends JSON requests and decodes the JSON responses.
 type caller struct {
 	client  *httpcall.Client
 	timeout time.Duration
 }
 
-// call returns the status code; in and out may be nil. A non-nil error means no usable answer came.
+// call sends in as the request body, decodes the body of a 200 response into out and returns the status code.
+// Both in and out may be nil. It returns an error if there is no usable response, which includes status 500
+// and above.
 func (c caller) call(ctx context.Context, method, address, uri string, in, out any) (int, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -41,7 +43,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Close() //nolint:errcheck // the answer is read whole
+	defer answer.Close() //nolint:errcheck // the response body has been read in full
 	status := answer.Response.StatusCode()
 	if status >= fasthttp.StatusInternalServerError {
 		return status, fmt.Errorf("%s %s: status %d", method, uri, status)
--- a/internal/infra/rest/engine.go
+++ b/internal/infra/rest/engine.go
@@ -10,12 +10,12 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// Engine is infra.Engine over HTTP.
+// Engine implements infra.Engine over HTTP.
 type Engine struct {
 	caller caller
 }
 
-// NewEngine returns a client for every engine; timeout bounds each call.
+// NewEngine returns a client that is shared by all engines; timeout applies to each call.
 func NewEngine(client *httpcall.Client, timeout time.Duration) *Engine {
 	return &Engine{caller{client, timeout}}
 }
@@ -25,7 +25,7 @@
 	var s infra.EngineState
 	status, err := e.caller.call(ctx, fasthttp.MethodGet, address, "/engine/state", nil, &s)
 	if err == nil && status != fasthttp.StatusOK {
-		err = Error.New("state of the engine at %s: status %d", address, status)
+		err = Error.New("reading the state of the engine at %s: HTTP status %d", address, status)
 	}
 	return s, err
 }
@@ -37,7 +37,7 @@
 		return infra.ErrFenced
 	}
 	if err == nil && status != fasthttp.StatusOK {
-		err = Error.New("order to the engine at %s: status %d", address, status)
+		err = Error.New("sending an order to the engine at %s: HTTP status %d", address, status)
 	}
 	return err
 }
--- a/internal/infra/rest/object_store.go
+++ b/internal/infra/rest/object_store.go
@@ -13,14 +13,15 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// ObjectStore is infra.ObjectStore over HTTP; every call is paid from a Budget.
+// ObjectStore implements infra.ObjectStore over HTTP; a Budget limits the rate of its calls.
 type ObjectStore struct {
 	address string
 	caller  caller
 	budget  *Budget
 }
 
-// NewObjectStore returns the object API at address (host:port).
+// NewObjectStore returns a client of the object API at address (host:port); timeout applies to each call, and
+// Watch adds its wait to it.
 func NewObjectStore(address string, client *httpcall.Client, budget *Budget, timeout time.Duration) *ObjectStore {
 	return &ObjectStore{address: address, caller: caller{client, timeout}, budget: budget}
 }
@@ -53,8 +54,8 @@
 // Watch implements infra.ObjectStore.
 func (s *ObjectStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (infra.Listing, error) {
 	uri := fmt.Sprintf("/watch?prefix=%s&after=%d&wait_ms=%d", url.QueryEscape(prefix), after, wait.Milliseconds())
-	patient := caller{s.caller.client, s.caller.timeout + wait}
-	return s.listing(ctx, uri, patient)
+	longPollCaller := caller{s.caller.client, s.caller.timeout + wait}
+	return s.listing(ctx, uri, longPollCaller)
 }
 
 func (s *ObjectStore) listing(ctx context.Context, uri string, c caller) (infra.Listing, error) {
--- a/internal/infra/rest/source.go
+++ b/internal/infra/rest/read_only_service.go
@@ -9,14 +9,14 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// source is one of the platform's read-only services.
-type source struct {
+// readOnlyService is a read-only HTTP service of the platform.
+type readOnlyService struct {
 	address string
 	caller  caller
 }
 
-// fetch reads one value of a source.
-func fetch[T any](ctx context.Context, s source, uri string) (T, error) {
+// fetch reads the JSON value at uri from the service s.
+func fetch[T any](ctx context.Context, s readOnlyService, uri string) (T, error) {
 	var out T
 	status, err := s.caller.call(ctx, fasthttp.MethodGet, s.address, uri, nil, &out)
 	if err != nil || status != fasthttp.StatusOK {
--- a/internal/infra/rest/vm_list.go
+++ b/internal/infra/rest/vm_list.go
@@ -8,15 +8,15 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// VMList is infra.VMList over HTTP.
-type VMList struct{ source source }
+// VMList implements infra.VMList over HTTP.
+type VMList struct{ service readOnlyService }
 
-// NewVMList returns the VM list at address (host:port).
+// NewVMList returns a client of the VM list at address (host:port); timeout applies to each call.
 func NewVMList(address string, client *httpcall.Client, timeout time.Duration) *VMList {
-	return &VMList{source{address, caller{client, timeout}}}
+	return &VMList{readOnlyService{address, caller{client, timeout}}}
 }
 
 // VMs implements infra.VMList.
 func (l *VMList) VMs(ctx context.Context) ([]infra.VM, error) {
-	return fetch[[]infra.VM](ctx, l.source, "/vms")
+	return fetch[[]infra.VM](ctx, l.service, "/vms")
 }
--- a/internal/infra/rest/weight_store.go
+++ b/internal/infra/rest/weight_store.go
@@ -8,15 +8,15 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// WeightStore is infra.WeightStore over HTTP.
-type WeightStore struct{ source source }
+// WeightStore implements infra.WeightStore over HTTP.
+type WeightStore struct{ service readOnlyService }
 
-// NewWeightStore returns the weight store at address (host:port).
+// NewWeightStore returns a client of the weight store at address (host:port); timeout applies to each call.
 func NewWeightStore(address string, client *httpcall.Client, timeout time.Duration) *WeightStore {
-	return &WeightStore{source{address, caller{client, timeout}}}
+	return &WeightStore{readOnlyService{address, caller{client, timeout}}}
 }
 
 // Limits implements infra.WeightStore.
 func (s *WeightStore) Limits(ctx context.Context) (infra.WeightLimits, error) {
-	return fetch[infra.WeightLimits](ctx, s.source, "/weights/limits")
+	return fetch[infra.WeightLimits](ctx, s.service, "/weights/limits")
 }
--- a/internal/infra/weight_store.go
+++ b/internal/infra/weight_store.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// WeightLimits is the rate the weight store bears over the whole pool.
+// WeightLimits is the load that the weight store can take from all VMs of the pool together.
 type WeightLimits struct {
-	LoadsPerSecond float64 `json:"loads_per_second"` // VM loads started a second
+	LoadsPerSecond float64 `json:"loads_per_second"` // weight loads started per second, one for each VM
 }
 
 // WeightStore is the platform's rate-limited store of model weights; engines read from it.
 type WeightStore interface {
-	// Limits returns the rate the store bears.
+	// Limits returns the load that the store can take.
 	Limits(ctx context.Context) (WeightLimits, error)
 }
