--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,14 +1,14 @@
-// Package verdict says whether a request may have run at an endpoint.
+// Package verdict classifies requests by whether they may have run at an endpoint.
 package verdict
 
 import "errors"
 
-// Verdict is what is known about the effect of one request.
+// Verdict states whether a request has run, as far as is known.
 type Verdict uint8
 
-// The zero Verdict is invalid, so that a forgotten one is noticed.
+// The verdicts. The zero value is invalid, so that a verdict that was never set is noticed.
 const (
-	// NotRun means no endpoint has received or will run the request.
+	// NotRun means no endpoint has received the request and none will run it.
 	NotRun Verdict = iota + 1
 	// Ran means an endpoint ran the request and its outcome is known.
 	Ran
@@ -16,7 +16,7 @@
 	MayHaveRun
 )
 
-// Header carries the verdict of every refusal and failure to the caller.
+// Header is the HTTP response header that tells the caller the verdict on its request.
 const Header = "X-Moorrun-Verdict"
 
 // String returns the wire form of v: "not-run", "ran" or "may-have-run".
@@ -33,7 +33,8 @@
 	}
 }
 
-// Parse returns the verdict written as text; unknown text is MayHaveRun, the cautious reading.
+// Parse returns the verdict with wire form text. It returns MayHaveRun for any other text, which is the safe
+// assumption.
 func Parse(text string) Verdict {
 	switch text {
 	case "not-run":
@@ -45,7 +46,7 @@
 	}
 }
 
-// Error is a failure together with what is known about its request.
+// Error is the error of a failed request together with the verdict on the request.
 type Error struct {
 	Verdict Verdict
 	Err     error
@@ -57,10 +58,10 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Verdict.String() + ": " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the verdict attached to err, or MayHaveRun when none is.
+// Of returns the verdict attached to err, or MayHaveRun if there is none.
 func Of(err error) Verdict {
 	var v *Error
 	if errors.As(err, &v) {
