--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,5 +1,5 @@
-// Package invariant checks, inside the running program, what must always hold. The checks stay
-// compiled in: a breach is logged with its state and counted.
+// Package invariant checks the invariants of the system at run time. The checks are part of production
+// builds: a breach is counted, and logged together with the state that shows it.
 package invariant
 
 import (
@@ -10,28 +10,28 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Name says which promise a check guards.
+// Name identifies an invariant in logs and metrics.
 type Name string
 
 // The invariants.
 const (
-	// OneGroupAVM: no VM belongs to two groups at once.
+	// OneGroupAVM states that no VM belongs to two groups at the same time.
 	OneGroupAVM Name = "one_group_a_vm"
-	// WholeGroup: no request goes to a group without live evidence that all its VMs are present.
+	// WholeGroup states that a request is sent to a group only on current evidence that all its VMs are present.
 	WholeGroup Name = "whole_group"
-	// RevisionGrows: an accepted configuration never reverts.
+	// RevisionGrows states that the revision of the accepted configuration never goes back.
 	RevisionGrows Name = "revision_grows"
-	// OwnAnswer: a caller gets the answer to its own request.
+	// OwnAnswer states that a caller receives the response to its own request.
 	OwnAnswer Name = "own_answer"
-	// RunsOnce: a request that may not be repeated is sent at most once.
+	// RunsOnce states that a request that must not be repeated is sent at most once.
 	RunsOnce Name = "runs_once"
-	// PlacesHeld: places granted of a group do not pass what it has.
+	// PlacesHeld states that the places granted in a group do not exceed the places that it has.
 	PlacesHeld Name = "places_held"
-	// UnderLease: an assignment is never replaced by one of an earlier lease holder.
+	// UnderLease states that an assignment is never replaced by one from an earlier lease holder.
 	UnderLease Name = "under_lease"
 )
 
-// Checker counts checks and reports breaches.
+// Checker counts checks and breaches, and logs the breaches.
 type Checker struct {
 	logger   log.Logger
 	scope    tally.Scope
@@ -39,13 +39,13 @@
 	breaches atomic.Int64
 }
 
-// NewChecker returns a Checker that logs to logger and counts in scope.
+// NewChecker returns a Checker that logs breaches to logger and counts them in scope.
 func NewChecker(logger log.Logger, scope tally.Scope) *Checker {
 	return &Checker{logger: logger, scope: scope}
 }
 
-// Hold checks one invariant and returns ok. detail gives the state as key-value pairs and is called
-// only on a breach.
+// Hold records a check of invariant name, which holds if ok is true, and returns ok. On a breach it calls
+// detail for the state to log, as key-value pairs.
 func (c *Checker) Hold(name Name, ok bool, detail func() []any) bool {
 	c.checks.Add(1)
 	if ok {
@@ -57,8 +57,8 @@
 	return false
 }
 
-// Checks returns how many checks have been made.
+// Checks returns the number of checks made.
 func (c *Checker) Checks() int64 { return c.checks.Load() }
 
-// Breaches returns how many have failed.
+// Breaches returns the number of checks that failed.
 func (c *Checker) Breaches() int64 { return c.breaches.Load() }
