--- a/internal/exitcode/exitcode.go
+++ b/internal/exitcode/exitcode.go
@@ -1,4 +1,4 @@
-// Package exitcode gives errors the exit code of the programs.
+// Package exitcode attaches process exit codes to errors.
 package exitcode
 
 import (
@@ -16,14 +16,14 @@
 
 // The exit codes of moorrun and moorrund.
 const (
-	Done     = 0
-	Failed   = 1
-	Usage    = 2
-	Conflict = 3
-	Unknown  = 4
+	Done     = 0 // success
+	Failed   = 1 // any other error
+	Usage    = 2 // invalid command line or configuration
+	Conflict = 3 // another change was accepted first
+	Unknown  = 4 // the change may or may not have taken effect
 )
 
-// Error is an error with the exit code it leads to.
+// Error is an error with the exit code of the program that fails with it.
 type Error struct {
 	Code int
 	Err  error
@@ -32,15 +32,16 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// New returns an error that leads to the code.
+// New returns an error with exit code code and a message formatted as by fmt.Errorf.
 func New(code int, format string, args ...any) error {
 	return &Error{code, fmt.Errorf(format, args...)}
 }
 
-// With gives an error without a code the one that fits it.
+// With returns err with an exit code: Usage for configuration problems and Failed for other errors. An err that is
+// nil or has a code already is returned unchanged.
 func With(err error) error {
 	var coded *Error
 	var problems config.Problems
@@ -54,8 +55,8 @@
 	}
 }
 
-// Run runs a program's command line until it ends or is interrupted, and returns its exit code. An error without
-// a code comes from the command line itself.
+// Run executes root with args until it returns, cancels its context on SIGINT or SIGTERM, and returns the exit code.
+// An error without a code is one of parsing the command line, so its exit code is Usage.
 func Run(root *cobra.Command, args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
