--- a/internal/metrics/reporter.go
+++ b/internal/metrics/reporter.go
@@ -1,4 +1,4 @@
-// Package metrics keeps tally's metrics for the /metrics page.
+// Package metrics stores the metrics reported through tally and writes them for the /metrics page.
 package metrics
 
 import (
@@ -15,11 +15,12 @@
 )
 
 const (
-	longestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 2
+	maxTimerMicros         = int64(10 * time.Minute / time.Microsecond) // longer durations are recorded as this one
+	timerSignificantDigits = 2
 )
 
-// Reporter is a tally.StatsReporter that keeps the latest values.
+// Reporter is a tally.StatsReporter that keeps counter totals, the latest gauge values and a histogram for each
+// timer, all by series name.
 type Reporter struct {
 	mu       sync.Mutex
 	counters map[string]int64
@@ -39,27 +40,27 @@
 func (r *Reporter) ReportCounter(name string, tags map[string]string, value int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counters[series(name, tags)] += value
+	r.counters[seriesName(name, tags)] += value
 }
 
 // ReportGauge implements tally.StatsReporter.
 func (r *Reporter) ReportGauge(name string, tags map[string]string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gauges[series(name, tags)] = value
+	r.gauges[seriesName(name, tags)] = value
 }
 
 // ReportTimer implements tally.StatsReporter.
 func (r *Reporter) ReportTimer(name string, tags map[string]string, interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := series(name, tags)
+	key := seriesName(name, tags)
 	h, ok := r.timers[key]
 	if !ok {
-		h = hdrhistogram.New(1, longestMicros, digits)
+		h = hdrhistogram.New(1, maxTimerMicros, timerSignificantDigits)
 		r.timers[key] = h
 	}
-	_ = h.RecordValue(min(max(1, interval.Microseconds()), longestMicros))
+	_ = h.RecordValue(min(max(1, interval.Microseconds()), maxTimerMicros))
 }
 
 // ReportHistogramValueSamples implements tally.StatsReporter; moorrun uses timers instead.
@@ -84,7 +85,8 @@
 // Tagging implements tally.Capabilities.
 func (capabilities) Tagging() bool { return true }
 
-func series(name string, tags map[string]string) string {
+// seriesName returns name with its tags, sorted, as name{key="value",...}.
+func seriesName(name string, tags map[string]string) string {
 	if len(tags) == 0 {
 		return name
 	}
@@ -96,21 +98,22 @@
 	return name + "{" + strings.Join(pairs, ",") + "}"
 }
 
-// Write writes every series in the text exposition format, timers as quantiles in seconds.
+// Write writes every series to w in the Prometheus text exposition format. Timers are written as quantiles in
+// seconds and a count.
 func (r *Reporter) Write(w io.Writer) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, name := range sorted(r.counters) {
+	for _, name := range sortedKeys(r.counters) {
 		if _, err := fmt.Fprintf(w, "%s %d\n", name, r.counters[name]); err != nil {
 			return err
 		}
 	}
-	for _, name := range sorted(r.gauges) {
+	for _, name := range sortedKeys(r.gauges) {
 		if _, err := fmt.Fprintf(w, "%s %g\n", name, r.gauges[name]); err != nil {
 			return err
 		}
 	}
-	for _, name := range sorted(r.timers) {
+	for _, name := range sortedKeys(r.timers) {
 		if err := writeTimer(w, name, r.timers[name]); err != nil {
 			return err
 		}
@@ -137,7 +140,7 @@
 	return err
 }
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K {
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/internal/metrics/reporter_test.go
+++ b/internal/metrics/reporter_test.go
@@ -10,7 +10,7 @@
 	"moorrun.dev/moorrun/internal/metrics"
 )
 
-func TestTagsOfTimersStandBesideTheQuantile(t *testing.T) {
+func TestTimerSeriesCombineTagsAndQuantile(t *testing.T) {
 	r := metrics.NewReporter()
 	r.ReportTimer("answer", map[string]string{"zone": "z"}, 2*time.Second)
 	r.ReportTimer("plain", nil, time.Second)
