--- a/internal/infra/order.go
+++ b/internal/infra/order.go
@@ -16,7 +16,7 @@
 type Order struct {
 	VM         string   `json:"vm"`
 	Domain     string   `json:"domain"`
-	Generation int64    `json:"generation"`  // generation of the domain's assignment; engines reject orders of earlier generations
+	Generation int64    `json:"generation"`  // generation of the domain's assignment; a fencing token for engines that check it
 	Group      string   `json:"group"`       // empty: be in no group; if Model is set, keep its weights loaded as a spare
 	GroupBirth int64    `json:"group_birth"` // generation at which the group's VMs or model last changed
 	Role       Role     `json:"role"`
--- a/internal/infra/rest/budget.go
+++ b/internal/infra/rest/budget.go
@@ -16,7 +16,7 @@
 
 type urgentKey struct{}
 
-// Urgent returns a context whose calls may use the reserve for lease renewals.
+// Urgent returns a context that marks calls as lease renewals, which may use the reserve.
 func Urgent(ctx context.Context) context.Context {
 	return context.WithValue(ctx, urgentKey{}, true)
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -16,7 +16,8 @@
 	MayHaveRun
 )
 
-// Header is the HTTP response header that tells the caller the verdict on its request.
+// Header is the HTTP response header that tells the caller the verdict on its request, also with every refusal
+// and failure.
 const Header = "X-Moorrun-Verdict"
 
 // String returns the wire form of v: "not-run", "ran" or "may-have-run".
@@ -33,7 +34,7 @@
 	}
 }
 
-// Parse returns the verdict with wire form text. It returns MayHaveRun for any other text, which is the safe
+// Parse returns the verdict whose wire form is text. It returns MayHaveRun for any other text, which is the safe
 // assumption.
 func Parse(text string) Verdict {
 	switch text {
