--- a/internal/accept/store.go
+++ b/internal/accept/store.go
@@ -99,9 +99,9 @@
 	return evaluate(r, h, set), nil
 }
 
-// Settle reports whether the operation with the given id was accepted, for an operator who did not
+// OperationResult reports whether the operation with the given id was accepted, for an operator who did not
 // receive the answer. It returns status Unknown if the head does not list the operation.
-func (s *Store) Settle(ctx context.Context, operation string) (Result, error) {
+func (s *Store) OperationResult(ctx context.Context, operation string) (Result, error) {
 	h, _, err := s.Head(ctx)
 	if err != nil {
 		return Result{}, err
--- a/internal/admin/configuration.go
+++ b/internal/admin/configuration.go
@@ -105,7 +105,7 @@
 func (s *Server) operation(r *request) error {
 	ctx, cancel := context.WithTimeout(r.ctx, writeTimeout)
 	defer cancel()
-	result, err := s.Store.Settle(ctx, strings.TrimPrefix(string(r.ctx.Path()), adminapi.PathOperation))
+	result, err := s.Store.OperationResult(ctx, strings.TrimPrefix(string(r.ctx.Path()), adminapi.PathOperation))
 	if errors.Is(err, context.DeadlineExceeded) {
 		result = accept.Result{Status: accept.Unknown, Detail: "the store does not answer"}
 		err = nil
--- a/internal/peer/contact.go
+++ b/internal/peer/contact.go
@@ -11,8 +11,8 @@
 	last time.Time
 }
 
-// Heard records that the other side was alive at the given time. Earlier times than the latest are ignored.
-func (c *Contact) Heard(at time.Time) {
+// RecordAlive records that the other side was alive at the given time. Earlier times than the latest are ignored.
+func (c *Contact) RecordAlive(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at.After(c.last) {
--- a/internal/peer/link_client.go
+++ b/internal/peer/link_client.go
@@ -92,7 +92,7 @@
 	for _, a := range down.Alive {
 		l.fleet.Members.Heard(a.Vm, a.Incarnation, asOf.Add(-millis(a.AgeMs)))
 	}
-	l.fleet.Contact.Heard(asOf)
+	l.fleet.Contact.RecordAlive(asOf)
 	return asOf, true
 }
 
--- a/internal/peer/link_server.go
+++ b/internal/peer/link_server.go
@@ -119,7 +119,7 @@
 	if !ok {
 		return
 	}
-	l.fleet.Contact.Heard(asOf)
+	l.fleet.Contact.RecordAlive(asOf)
 	if !l.peerInSameDataCentre() {
 		return
 	}
--- a/internal/relay/watcher.go
+++ b/internal/relay/watcher.go
@@ -64,7 +64,7 @@
 			listed = sent
 		}
 		wait.Reset()
-		w.fleet.Contact.Heard(sent)
+		w.fleet.Contact.RecordAlive(sent)
 		version = next
 	}
 	return nil
