--- a/internal/admission/refusal.go
+++ b/internal/admission/refusal.go
@@ -13,5 +13,5 @@
 
 // Error implements error.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("%s; retry after %s", r.Reason, r.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("%s; come back in %s", r.Reason, r.RetryAfter.Round(time.Millisecond))
 }
