--- a/internal/formation/candidate.go
+++ b/internal/formation/candidate.go
@@ -10,8 +10,7 @@
 )
 
 // evictionPressureRatio is how many times the pressure of another model a model's own pressure has to be before its
-// group may cost that model the ability to form one of its own. The margin keeps groups from switching back and forth;
-// other values have not been tried.
+// group may cost that model the ability to form one of its own. The margin keeps groups from switching back and forth.
 const evictionPressureRatio = 1.5
 
 // candidate is a replica group that could be formed from free endpoints.
--- a/internal/gossip/rate_limit.go
+++ b/internal/gossip/rate_limit.go
@@ -7,7 +7,7 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// RateLimit is what nodes tell each other about one endpoint's rate limit.
+// RateLimit is the state of one endpoint's rate limit that nodes exchange.
 type RateLimit struct {
 	Named     bool      // the endpoint announces a limit; false once it no longer does
 	PerSecond float64   // requests per second from all nodes together
--- a/internal/node/managed_leases.go
+++ b/internal/node/managed_leases.go
@@ -43,7 +43,7 @@
 // claimUnstarted returns the data centres whose lease this node should hold and that have no keeper yet, and marks
 // them as started. These are its own data centre and those without live nodes.
 func (m *leaseManager) claimUnstarted(now time.Time) []string {
-	c := m.node.configKeeper.Current()
+	c := m.node.configTracker.Current()
 	if c == nil {
 		return nil
 	}
@@ -63,7 +63,7 @@
 func (m *leaseManager) newKeeper(dataCentre string) *holder.Keeper {
 	n := m.node
 	want := func() bool {
-		c := n.configKeeper.Current()
+		c := n.configTracker.Current()
 		return c != nil && n.runCtx.Err() == nil && !n.draining() && m.shouldHold(dataCentre, c, clock.Now())
 	}
 	ttl := n.settings.LeaseTTL()
@@ -89,7 +89,7 @@
 	if c.Region(dataCentre) != c.Region(n.settings.DataCentre) {
 		return false
 	}
-	guardians := membership.Rank("guard/"+dataCentre, n.orphans.ActingNodes(dataCentre, now))
+	guardians := membership.Rank("guard/"+dataCentre, n.takeover.ActingNodes(dataCentre, now))
 	return len(guardians) > 0 && guardians[0].VM == n.settings.VM
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,21 +57,21 @@
 	reporter      *metrics.Reporter
 	metricsCloser io.Closer
 
-	fleet        *peer.Fleet
-	drains       *drains.Reader
-	objects      infra.ObjectStore
-	calls        *httpcall.Client
-	caller       *peer.Caller
-	links        *relay.Links
-	watcher      *relay.Watcher
-	configKeeper *inforce.Tracker
-	leases       *leaseManager
-	pruner       *holder.Pruner
-	orphans      *membership.Takeover
-	vms          *holder.VMWatch
-	observer     *observer.Observer
-	places       *places.Server
-	admission    *admission.Admission
+	fleet         *peer.Fleet
+	drains        *drains.Reader
+	objects       infra.ObjectStore
+	calls         *httpcall.Client
+	caller        *peer.Caller
+	links         *relay.Links
+	watcher       *relay.Watcher
+	configTracker *inforce.Tracker
+	leases        *leaseManager
+	pruner        *holder.Pruner
+	takeover      *membership.Takeover
+	vms           *holder.VMWatch
+	observer      *observer.Observer
+	places        *places.Server
+	admission     *admission.Admission
 	// serviceAdmission queues requests to plain services; admission queues those to models.
 	serviceAdmission *admission.Admission
 	once             *once.ClaimStore
@@ -100,29 +100,29 @@
 	checker := invariant.NewChecker(logger, scope)
 	n.buildPlatform()
 	n.buildFleet()
-	current := func() *config.Config { return n.configKeeper.Current() }
-	n.configKeeper = inforce.NewTracker(n.fleet.Mirror, partSource{n.caller, n.links, n.objects}, checker, logger, n.configChanged)
+	current := func() *config.Config { return n.configTracker.Current() }
+	n.configTracker = inforce.NewTracker(n.fleet.Mirror, partSource{n.caller, n.links, n.objects}, checker, logger, n.configChanged)
 	book := domains.NewBook(n.fleet.Mirror)
 	n.drains = drains.NewReader(n.fleet.Mirror)
 	router := routing.New(n.drains, book, n.fleet.Looks, current)
 	engine := rest.NewEngine(n.calls, engineTimeout)
-	n.orphans = membership.NewTakeover(n.fleet.Members, func(dataCentre string) string {
+	n.takeover = membership.NewTakeover(n.fleet.Members, func(dataCentre string) string {
 		if c := current(); c != nil {
 			return c.Region(dataCentre)
 		}
 		return dataCentre
 	})
-	n.observer = observer.New(n.fleet, engine, book, current, n.orphans, s.Poll(), s.Evidence())
+	n.observer = observer.New(n.fleet, engine, book, current, n.takeover, s.Poll(), s.Evidence())
 	services := routing.NewServices(n.drains, current)
 	n.places = places.NewServer(n.fleet.Members, router, services, current, checker)
-	n.peerServer = peer.NewServer(n.fleet, n.configKeeper, n.places)
-	var asker admission.AllocatorClient = places.NewClient(n.fleet.Members, current, n.places, n.caller)
+	n.peerServer = peer.NewServer(n.fleet, n.configTracker, n.places)
+	var allocatorClient admission.AllocatorClient = places.NewClient(n.fleet.Members, current, n.places, n.caller)
 	if s.PlacesPolicy == settings.PlacesSplit {
-		asker = places.NewSplitter(n.fleet.Members, current, n.places)
+		allocatorClient = places.NewSplitter(n.fleet.Members, current, n.places)
 	}
-	n.admission = admission.New(n.runCtx, asker, router)
+	n.admission = admission.New(n.runCtx, allocatorClient, router)
 	n.admission.LengthOnly = s.QueuePolicy == settings.QueueFIFO
-	n.serviceAdmission = admission.New(n.runCtx, asker, services)
+	n.serviceAdmission = admission.New(n.runCtx, allocatorClient, services)
 	n.once = once.NewClaimStore(time.Now)
 	losses := holder.NewLossMeter()
 	n.buildHolder(book, engine, current, checker, losses)
@@ -195,7 +195,7 @@
 // ready reports whether the node is ready to serve, and if not, why.
 func (n *Node) ready() (bool, string) {
 	switch {
-	case n.configKeeper.Current() == nil:
+	case n.configTracker.Current() == nil:
 		return false, "no configuration is in force"
 	case n.draining():
 		return false, "draining"
@@ -217,7 +217,7 @@
 	g.Go(func() error { return n.admin.Serve(l.admin) })
 	g.Go(func() error { return ignoreErrorAfterEnd(n.runCtx, n.peerServer.Serve(n.runCtx, l.peer)) })
 	for _, run := range []func(context.Context) error{
-		n.links.Run, n.watcher.Run, n.configKeeper.Run, n.leases.Run, n.vms.Run, n.observer.Run,
+		n.links.Run, n.watcher.Run, n.configTracker.Run, n.leases.Run, n.vms.Run, n.observer.Run,
 		n.register, n.pruner.Run, n.sweep, n.syncDraining, n.places.Run,
 	} {
 		g.Go(func() error { return run(n.runCtx) })
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -34,7 +34,7 @@
 	return infra.Object{Key: o.Key, Version: o.Version, Value: o.Value, Deleted: o.Deleted}
 }
 
-func lookToWire(l evidence.Observation, now time.Time) *peerpb.DomainEvidence {
+func observationToWire(l evidence.Observation, now time.Time) *peerpb.DomainEvidence {
 	e := &peerpb.DomainEvidence{Domain: l.Domain, Observer: l.Observer, Sequence: l.Sequence, Generation: l.Generation}
 	e.Groups = make([]*peerpb.GroupEvidence, len(l.Groups))
 	for i, g := range l.Groups {
@@ -46,7 +46,7 @@
 	return e
 }
 
-func lookFromWire(e *peerpb.DomainEvidence, asOf time.Time) evidence.Observation {
+func observationFromWire(e *peerpb.DomainEvidence, asOf time.Time) evidence.Observation {
 	l := evidence.Observation{Domain: e.Domain, Observer: e.Observer, Sequence: e.Sequence, Generation: e.Generation}
 	l.Groups = make([]evidence.Group, len(e.Groups))
 	for i, g := range e.Groups {
--- a/internal/peer/link_client.go
+++ b/internal/peer/link_client.go
@@ -84,9 +84,9 @@
 	}
 	now := clock.Now()
 	for _, e := range down.Evidence {
-		look := lookFromWire(e, asOf)
-		look.SameDataCentre = l.sameDataCentre && l.observerInSameDataCentre(look.Observer)
-		l.fleet.Looks.Put(look, now)
+		observation := observationFromWire(e, asOf)
+		observation.SameDataCentre = l.sameDataCentre && l.observerInSameDataCentre(observation.Observer)
+		l.fleet.Looks.Put(observation, now)
 	}
 	l.receiveMembers(down.Members, asOf)
 	for _, a := range down.Alive {
--- a/internal/peer/link_server.go
+++ b/internal/peer/link_server.go
@@ -32,11 +32,11 @@
 	echo  uint64
 
 	// Last sequence numbers and times sent to the peer. Only the sending goroutine uses them.
-	sentObjects   uint64
-	sentLooks     uint64
-	sentMembers   uint64
-	agesSentAt    time.Time
-	membersSentAt time.Time
+	sentObjects      uint64
+	sentObservations uint64
+	sentMembers      uint64
+	agesSentAt       time.Time
+	membersSentAt    time.Time
 }
 
 // Link implements peerpb.DRPCPeerServer. It returns when the stream ends.
@@ -125,9 +125,9 @@
 	}
 	now := clock.Now()
 	for _, e := range up.Evidence {
-		look := lookFromWire(e, asOf)
-		look.SameDataCentre = true
-		l.fleet.Looks.Put(look, now)
+		observation := observationFromWire(e, asOf)
+		observation.SameDataCentre = true
+		l.fleet.Looks.Put(observation, now)
 		for _, r := range e.Vms {
 			l.fleet.Reports.Put(r.Vm, reportFromWire(r, asOf))
 		}
@@ -152,26 +152,26 @@
 	for _, o := range objects {
 		down.Objects = append(down.Objects, objectToWire(o))
 	}
-	l.addLooks(down, now)
+	l.addObservations(down, now)
 	l.addMembers(down, now)
 	return l.stream.Send(down)
 }
 
-// addLooks adds the observations that have changed. Peers in this data centre get those of all data centres,
+// addObservations adds the observations that have changed. Peers in this data centre get those of all data centres,
 // other peers only those made in this data centre. A peer's own observations are not sent back to it.
-func (l *linkServer) addLooks(down *peerpb.Down, now time.Time) {
-	looks, sequence := l.fleet.Looks.Since(l.sentLooks)
-	l.sentLooks = sequence
+func (l *linkServer) addObservations(down *peerpb.Down, now time.Time) {
+	observations, sequence := l.fleet.Looks.Since(l.sentObservations)
+	l.sentObservations = sequence
 	sameDataCentre := l.peerInSameDataCentre()
-	for _, look := range looks {
-		if (sameDataCentre || look.SameDataCentre) && !l.observedByPeer(look) {
-			down.Evidence = append(down.Evidence, lookToWire(look, now))
+	for _, observation := range observations {
+		if (sameDataCentre || observation.SameDataCentre) && !l.observedByPeer(observation) {
+			down.Evidence = append(down.Evidence, observationToWire(observation, now))
 		}
 	}
 }
 
-func (l *linkServer) observedByPeer(look evidence.Observation) bool {
-	return ObserverVM(look.Observer) == l.peerVM()
+func (l *linkServer) observedByPeer(observation evidence.Observation) bool {
+	return ObserverVM(observation.Observer) == l.peerVM()
 }
 
 func (l *linkServer) peerVM() string {
--- a/internal/peer/outbox.go
+++ b/internal/peer/outbox.go
@@ -19,9 +19,9 @@
 }
 
 type outboxEntry struct {
-	look     evidence.Observation
-	vms      map[string]replica.VMView
-	sequence uint64
+	observation evidence.Observation
+	vms         map[string]replica.VMView
+	sequence    uint64
 }
 
 // NewOutbox returns an empty Outbox.
@@ -29,12 +29,12 @@
 	return &Outbox{entries: make(map[string]outboxEntry), changed: make(chan struct{})}
 }
 
-// Put stores look as the latest observation of its domain and wakes the waiting links.
-func (o *Outbox) Put(look evidence.Observation, vms map[string]replica.VMView) {
+// Put stores observation as the latest observation of its domain and wakes the waiting links.
+func (o *Outbox) Put(observation evidence.Observation, vms map[string]replica.VMView) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.sequence++
-	o.entries[look.Domain] = outboxEntry{look, vms, o.sequence}
+	o.entries[observation.Domain] = outboxEntry{observation, vms, o.sequence}
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
@@ -56,7 +56,7 @@
 		if e.sequence <= sequence {
 			continue
 		}
-		wire := lookToWire(e.look, now)
+		wire := observationToWire(e.observation, now)
 		for vm, v := range e.vms {
 			wire.Vms = append(wire.Vms, ReportToWire(vm, v, now))
 		}
--- a/internal/server/addresses.go
+++ b/internal/server/addresses.go
@@ -19,8 +19,8 @@
 	// with four nodes, two of them with a fifth of a core, a day with rolling restarts earned a tenth to a third less than
 	// with eight. With eight, the loss of a third of a fleet leaves a data centre without any of them once in 6,500 times.
 	minAdvertisedNodes = 8
-	// coresPerRequest is the number of cores that one running request uses: 29 thousandths of a core were measured on each
-	// of nine nodes that together received 147 requests a second of one second each.
+	// coresPerRequest is the number of cores that one running request uses: 29 thousandths of a core on each of nine nodes
+	// that together receive 147 requests a second of one second each.
 	coresPerRequest = 0.0018
 	// targetCPUFraction is the maximum fraction of a node's CPU that requests should use, so that a burst of several times
 	// as many requests still fits.
