--- /dev/null
+++ b/internal/gateway/quarantine.go
@@ -0,0 +1,53 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"moorrun.dev/moorrun/internal/clock"
+	"moorrun.dev/moorrun/internal/picker"
+	"moorrun.dev/moorrun/internal/quarantine"
+	"moorrun.dev/moorrun/internal/verdict"
+)
+
+// heldError means that the request is held back for the remaining time because endpoints have ended while they ran it.
+type heldError struct{ remaining time.Duration }
+
+func (e *heldError) Error() string {
+	return "endpoints have ended under this request; it is held back for " + e.remaining.Truncate(time.Second).String()
+}
+
+// setFingerprint computes the request's fingerprint.
+func (f *activeRequest) setFingerprint() {
+	r := f.request
+	c := quarantine.Content{Workspace: f.workspace.Name, Host: r.Host, Method: r.Method, Target: r.Path + "?" + r.Query, Body: r.Body}
+	f.fingerprint = c.Fingerprint()
+}
+
+// heldBack returns a *heldError if the request must not be sent.
+func (f *activeRequest) heldBack() error {
+	if left, held := f.gateway.Quarantine.Held(f.fingerprint, clock.Now()); held {
+		return &heldError{left}
+	}
+	return nil
+}
+
+// reportFailure reports an attempt without a complete answer to the inquiry: if its endpoint has ended, that counts against the
+// request.
+func (f *activeRequest) reportFailure(ctx context.Context, place *picker.Place, err error) {
+	inquiry := f.gateway.Inquiry
+	switch {
+	case verdict.Of(err) == verdict.NotRun:
+		inquiry.Refused(place.Endpoint)
+	case ctx.Err() != nil, errors.Is(err, errHedged), errors.Is(err, errStalled), errors.Is(err, errCallerGone):
+		inquiry.Abandoned(place.Endpoint, f.fingerprint)
+	default:
+		inquiry.Failed(place.Endpoint, f.fingerprint, f.sends > 1)
+	}
+}
+
+// reportAnswered records in the quarantine table that an endpoint has answered the request completely.
+func (f *activeRequest) reportAnswered(now time.Time) {
+	f.gateway.Quarantine.Answered(f.fingerprint, now)
+}
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -11,41 +11,41 @@
 	"moorrun.dev/moorrun/internal/quarantine"
 )
 
-// isolate puts together what holds back requests that end endpoints.
-func (n *Server) isolate() {
+// setUpQuarantine creates the parts that detect and hold back requests that cause endpoints to end.
+func (n *Server) setUpQuarantine() {
 	n.quarantine = quarantine.NewTable()
-	n.quarantine.OnHeld = n.toldHeld
+	n.quarantine.OnHeld = n.logHeld
 	n.gossip.Quarantine = n.quarantine
 	endings := n.scope.Counter("endpoint_endings")
-	n.inquiry = &quarantine.Inquiry{
-		Table: n.quarantine, Directory: n.directory, Ask: n.findOut, Logger: n.logger,
-		Noted: func(held bool) {
+	n.inquiry = &quarantine.Investigator{
+		Table: n.quarantine, Directory: n.directory, Probe: n.probeEndpoint, Logger: n.logger,
+		OnEnding: func(held bool) {
 			endings.Inc(1)
 			if held {
 				n.gossip.Kick()
 			}
 		},
 	}
-	n.holds = &quarantine.Keeper{
+	n.quarantineKeeper = &quarantine.HoldSyncer{
 		Table: n.quarantine, Objects: n.platform.Objects, Recent: n.platform.Recent, Logger: n.logger, FirstStart: n.settings.FirstStart,
-		Leads: func(now time.Time) int64 { return n.controller.Leads(now) },
-		Alone: func(now time.Time) bool { return len(n.gossip.Live(now)) == 0 },
+		LeaderEpoch: func(now time.Time) int64 { return n.controller.Leads(now) },
+		Alone:       func(now time.Time) bool { return len(n.gossip.Live(now)) == 0 },
 	}
 }
 
-// findOut asks an endpoint whether it lives.
-func (n *Server) findOut(ctx context.Context, e *endpoint.Endpoint) quarantine.Finding {
-	switch answer := n.platform.Engine.Ask(ctx, e); {
+// probeEndpoint asks an endpoint whether it is alive.
+func (n *Server) probeEndpoint(ctx context.Context, e *endpoint.Endpoint) quarantine.ProbeResult {
+	switch answer := n.platform.Engine.Probe(ctx, e); {
 	case answer.Heard():
 		return quarantine.Alive
-	case answer == formation.NobodyThere:
+	case answer == formation.Absent:
 		return quarantine.Ended
 	default:
 		return quarantine.Unknown
 	}
 }
 
-// toldHeld logs that a request is held back from now on, whoever has found it.
-func (n *Server) toldHeld(r quarantine.Record) {
+// logHeld logs that a request is held back from now on, whichever node has found it.
+func (n *Server) logHeld(r quarantine.Record) {
 	_ = level.Warn(n.logger).Log("msg", "request is held back", "fingerprint", r.Fingerprint, "endings", len(r.Endings), "hold_ms", r.Hold.Milliseconds())
 }
