--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,27 +1,27 @@
-// Package config holds the operators' configuration: the declared types, their checks and
-// the indexes that the rest of the program reads.
+// Package config defines the operators' configuration: the types of its files, their validation, and the
+// indexes that other packages look up.
 package config
 
-// Config is one accepted configuration; it is never changed after New.
+// Config is one accepted configuration with its indexes. It is immutable.
 type Config struct {
 	Revision int64
 	Set      Set
 	Prices   Prices
 
 	callers       map[string]string // token hash → workspace
-	poolOperators []string
+	poolOperators []string          // token hashes
 	operators     map[string]string // token hash → workspace
 	models        map[string]ModelOf
-	shares        map[string]int
+	shares        map[string]int // by workspace
 	domains       map[string]DomainOf
-	regions       map[string]string
+	regions       map[string]string // by data centre
 	services      map[serviceKey]*Service
 	endpoints     map[string]Endpoint
 }
 
 type serviceKey struct{ workspace, service string }
 
-// New builds the indexes of a valid set.
+// New returns the Config of a set, which must be valid.
 func New(revision int64, set Set) *Config {
 	c := &Config{
 		Revision: revision, Set: set, Prices: DefaultPrices,
@@ -63,8 +63,8 @@
 }
 
 func (c *Config) indexWorkspace(w *Workspace) {
-	for _, o := range w.Callers {
-		c.callers[o.TokenSHA256] = w.Name
+	for _, caller := range w.Callers {
+		c.callers[caller.TokenSHA256] = w.Name
 	}
 	for _, o := range w.Operators {
 		c.operators[o.TokenSHA256] = w.Name
@@ -80,14 +80,14 @@
 	}
 }
 
-// CallerWorkspace returns the workspace whose caller holds token.
+// CallerWorkspace returns the workspace of the caller with the given token.
 func (c *Config) CallerWorkspace(token string) (string, bool) {
-	// The lookup compares hashes of the token, so its time says nothing about the token.
+	// The key is a hash of the token, so the duration of the lookup reveals nothing about the token.
 	w, ok := c.callers[HashToken(token)]
 	return w, ok
 }
 
-// OperatorScope returns what the operator holding token may change.
+// OperatorScope returns the scope of the operator with the given token.
 func (c *Config) OperatorScope(token string) (Scope, bool) {
 	hash := HashToken(token)
 	for _, o := range c.poolOperators {
@@ -99,7 +99,7 @@
 	return Scope{Workspace: w}, ok
 }
 
-// Model returns the model that workspace may call under that name.
+// Model returns the model with the given name if workspace owns it or it is shared.
 func (c *Config) Model(workspace, name string) (ModelOf, bool) {
 	m, ok := c.models[name]
 	if !ok || m.Workspace != workspace && !m.Shared {
@@ -108,22 +108,22 @@
 	return m, true
 }
 
-// Models returns every model by name.
+// Models returns all models by name.
 func (c *Config) Models() map[string]ModelOf { return c.models }
 
-// Service returns the plain service of a workspace.
+// Service returns a workspace's plain service.
 func (c *Config) Service(workspace, name string) (*Service, bool) {
 	s, ok := c.services[serviceKey{workspace, name}]
 	return s, ok
 }
 
-// Endpoint returns an endpoint of any plain service.
+// Endpoint returns the endpoint with the given name, of whichever plain service.
 func (c *Config) Endpoint(name string) (Endpoint, bool) {
 	e, ok := c.endpoints[name]
 	return e, ok
 }
 
-// Objective returns what a model or service of a workspace is held to.
+// Objective returns the objective of a model or service of a workspace.
 func (c *Config) Objective(workspace, service string) (Objective, bool) {
 	part, ok := c.Set[WorkspacePart(workspace)]
 	if !ok {
@@ -137,13 +137,13 @@
 	return Objective{}, false
 }
 
-// Share returns the workspace's share, 1 when it has none.
+// Share returns the workspace's share, or 1 if it has none.
 func (c *Config) Share(workspace string) int { return max(1, c.shares[workspace]) }
 
-// Domains returns every fabric domain by name.
+// Domains returns all fabric domains by name.
 func (c *Config) Domains() map[string]DomainOf { return c.domains }
 
-// Region returns the region of a data centre; an undeclared one is a region of its own.
+// Region returns the region of a data centre. A data centre that is not declared is a region of its own.
 func (c *Config) Region(dataCentre string) string {
 	if r, ok := c.regions[dataCentre]; ok {
 		return r
--- a/internal/config/data_centre.go
+++ b/internal/config/data_centre.go
@@ -1,6 +1,6 @@
 package config
 
-// DataCentre is the part that declares one data centre's fabric domains.
+// DataCentre is the configuration part of one data centre, with its fabric domains.
 type DataCentre struct {
 	Kind    Kind     `json:"kind"`
 	Name    string   `json:"name"`
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -9,12 +9,12 @@
 	"slices"
 )
 
-// Change is one difference between two configurations.
+// Change is one difference between two sets.
 type Change struct {
 	Part  string `json:"part"`
 	Field string `json:"field"`
-	From  string `json:"from,omitempty"` // JSON; empty when the field is new
-	To    string `json:"to,omitempty"`   // JSON; empty when the field is gone
+	From  string `json:"from,omitempty"` // JSON; empty if the field is added
+	To    string `json:"to,omitempty"`   // JSON; empty if the field is removed
 }
 
 // String returns the change on one line.
@@ -29,7 +29,7 @@
 	}
 }
 
-// Diff returns what differs from one set to another.
+// Diff returns the changes that turn the set from into the set to, ordered by part name.
 func Diff(from, to Set) []Change {
 	names := make(map[string]bool)
 	for n := range from {
@@ -76,17 +76,17 @@
 	if reflect.DeepEqual(a, b) {
 		return
 	}
-	am, aIsMap := a.(map[string]any)
-	bm, bIsMap := b.(map[string]any)
+	aMap, aIsMap := a.(map[string]any)
+	bMap, bIsMap := b.(map[string]any)
 	if aIsMap && bIsMap {
-		diffMap(out, part, field, am, bm)
+		diffMap(out, part, field, aMap, bMap)
 		return
 	}
-	al, aIsList := a.([]any)
-	bl, bIsList := b.([]any)
-	if aIsList && bIsList && len(al) == len(bl) {
-		for i := range al {
-			diffValue(out, part, fmt.Sprintf("%s/%d", field, i), al[i], bl[i])
+	aList, aIsList := a.([]any)
+	bList, bIsList := b.([]any)
+	if aIsList && bIsList && len(aList) == len(bList) {
+		for i := range aList {
+			diffValue(out, part, fmt.Sprintf("%s/%d", field, i), aList[i], bList[i])
 		}
 		return
 	}
--- a/internal/config/domain.go
+++ b/internal/config/domain.go
@@ -1,6 +1,6 @@
 package config
 
-// Domain is a fabric domain; a replica group never reaches over two.
+// Domain is a fabric domain. All VMs of a replica group are in the same one.
 type Domain struct {
 	Name string `json:"name"`
 	VMs  []VM   `json:"vms"`
--- a/internal/config/domain_of.go
+++ b/internal/config/domain_of.go
@@ -1,6 +1,6 @@
 package config
 
-// DomainOf is a fabric domain with its data centre.
+// DomainOf is a fabric domain with the name of its data centre.
 type DomainOf struct {
 	Domain
 	DataCentre string
--- a/internal/config/endpoint.go
+++ b/internal/config/endpoint.go
@@ -1,16 +1,16 @@
 package config
 
-// DefaultEndpointPlaces is how many calls a plain endpoint takes at a time when it declares nothing.
+// DefaultEndpointPlaces is the maximum number of concurrent calls to an endpoint that declares no places.
 const DefaultEndpointPlaces = 64
 
-// Endpoint is one address of a plain service.
+// Endpoint is one endpoint of a plain service.
 type Endpoint struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	Places  int    `json:"places,omitempty"`
+	Places  int    `json:"places,omitempty"` // maximum number of concurrent calls; 0 for DefaultEndpointPlaces
 }
 
-// AtOnce is how many calls the endpoint takes at a time.
+// AtOnce returns the maximum number of concurrent calls to the endpoint.
 func (e Endpoint) AtOnce() int {
 	if e.Places == 0 {
 		return DefaultEndpointPlaces
--- a/internal/config/kind.go
+++ b/internal/config/kind.go
@@ -1,9 +1,9 @@
 package config
 
-// Kind says what a file declares.
+// Kind is the kind of part that a file declares.
 type Kind string
 
-// The kinds of files.
+// The kinds of parts.
 const (
 	KindPool       Kind = "pool"
 	KindDataCentre Kind = "data_centre"
--- a/internal/config/model_of.go
+++ b/internal/config/model_of.go
@@ -1,6 +1,6 @@
 package config
 
-// ModelOf is a model with the workspace that owns it.
+// ModelOf is a model with the name of the workspace that owns it.
 type ModelOf struct {
 	Model
 	Workspace string
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -23,7 +23,7 @@
 	return CompileSchema(schemaName, schemaJSON)
 })
 
-// CompileSchema compiles an embedded JSON schema and panics when it is faulty.
+// CompileSchema compiles an embedded JSON schema. It panics if the schema is invalid.
 func CompileSchema(name string, source []byte) *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(source))
 	if err != nil {
@@ -36,13 +36,13 @@
 	return c.MustCompile(name)
 }
 
-// ParsePart checks one file against the schema and decodes it.
+// ParsePart validates one file against the schema and decodes it.
 func ParsePart(file string, content []byte) (Part, Problems) {
 	if problems := CheckSchema(schema(), file, content); problems != nil {
 		return Part{}, problems
 	}
 	var head struct{ Kind Kind }
-	_ = json.Unmarshal(content, &head) // the schema has passed it
+	_ = json.Unmarshal(content, &head) // valid, since the schema was checked
 	p := Part{File: file}
 	var into any
 	switch head.Kind {
@@ -62,7 +62,7 @@
 	return p, nil
 }
 
-// CheckSchema returns every place where content breaks the schema.
+// CheckSchema returns all violations of the schema in content.
 func CheckSchema(s *jsonschema.Schema, file string, content []byte) Problems {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(content))
 	if err != nil {
@@ -89,18 +89,18 @@
 	}
 }
 
-// ParseSet parses every file and reports all faults at once, also two files that declare the same part.
+// ParseSet parses all files. It returns the problems of every file, and one for each part that two files declare.
 func ParseSet(files map[string][]byte) (Set, Problems) {
 	set := make(Set, len(files))
 	var problems Problems
 	for _, name := range sortedKeys(files) {
-		part, bad := ParsePart(name, files[name])
-		if bad != nil {
-			problems = append(problems, bad...)
+		part, partProblems := ParsePart(name, files[name])
+		if partProblems != nil {
+			problems = append(problems, partProblems...)
 			continue
 		}
-		if twin, taken := set[part.Name()]; taken {
-			problems = append(problems, Problem{name, "/", fmt.Sprintf("%s is declared in %s too; keep one", part.Name(), twin.File)})
+		if other, taken := set[part.Name()]; taken {
+			problems = append(problems, Problem{name, "/", fmt.Sprintf("%s is declared in %s too; keep one", part.Name(), other.File)})
 			continue
 		}
 		set[part.Name()] = part
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestEveryProblemNamesFileFieldAndMend(t *testing.T) {
+func TestEveryProblemNamesFileFieldAndRemedy(t *testing.T) {
 	cases := []struct{ name, content, field, message string }{
 		{"no JSON", `{"kind": `, "/", "mend the syntax"},
 		{"unknown field", `{"kind":"workspace","name":"w","modles":[]}`, "/", "additional properties 'modles' not allowed"},
@@ -87,10 +87,10 @@
 		}
 		again, problems := config.ParsePart("f.json", part.Content())
 		if problems != nil || again.Hash() != part.Hash() {
-			t.Fatalf("%s does not come back from its stored form: %v", content, problems)
+			t.Fatalf("%s differs after parsing its canonical form: %v", content, problems)
 		}
 		if !json.Valid(part.Content()) {
-			t.Fatal("the stored form is no JSON")
+			t.Fatal("the canonical form is not valid JSON")
 		}
 	})
 }
--- a/internal/config/part.go
+++ b/internal/config/part.go
@@ -6,16 +6,16 @@
 	"encoding/json"
 )
 
-// Part is one unit of the configuration: the pool, a data centre or a workspace.
-// Exactly one of the pointers is set.
+// Part is one unit of the configuration: the pool, a data centre or a workspace. Exactly one of the pointers is
+// set.
 type Part struct {
-	File       string // where it came from, for messages
+	File       string // source file, for messages
 	Pool       *Pool
 	DataCentre *DataCentre
 	Workspace  *Workspace
 }
 
-// Name identifies the part: "pool", "data_centre/NAME" or "workspace/NAME".
+// Name returns the name of the part: "pool", "data_centre/NAME" or "workspace/NAME".
 func (p Part) Name() string {
 	switch {
 	case p.Pool != nil:
@@ -27,7 +27,7 @@
 	}
 }
 
-// WorkspacePart returns the part name of a workspace.
+// WorkspacePart returns the name of a workspace's part.
 func WorkspacePart(workspace string) string { return string(KindWorkspace) + "/" + workspace }
 
 // Content returns the canonical JSON of the part.
@@ -46,7 +46,7 @@
 	return b
 }
 
-// Hash returns the SHA-256 of Content in hex.
+// Hash returns the SHA-256 hash of Content in hex.
 func (p Part) Hash() string {
 	sum := sha256.Sum256(p.Content())
 	return hex.EncodeToString(sum[:])
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -1,6 +1,6 @@
 package config
 
-// Pool is the part that belongs to the operators of the whole pool.
+// Pool is the configuration part that applies to the whole pool. Only the operators it lists may change it.
 type Pool struct {
 	Kind      Kind         `json:"kind"`
 	Operators []Credential `json:"operators"`
--- a/internal/config/replicas.go
+++ b/internal/config/replicas.go
@@ -1,6 +1,6 @@
 package config
 
-// Replicas bound how many replica groups a model has over the whole pool.
+// Replicas bounds the number of a model's replica groups in the whole pool.
 type Replicas struct {
 	Min int `json:"min"`
 	Max int `json:"max"`
--- a/internal/config/scope.go
+++ b/internal/config/scope.go
@@ -6,7 +6,7 @@
 	Workspace string
 }
 
-// Covers reports whether the scope includes the part of that name.
+// Covers reports whether the scope includes the part with the given name.
 func (s Scope) Covers(part string) bool {
 	return s.Pool || s.Workspace != "" && part == WorkspacePart(s.Workspace)
 }
--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Set is a whole configuration or the part of one that an operator applies, by part name.
+// Set holds parts by name: those of a whole configuration, or those that an operator applies.
 type Set map[string]Part
 
-// Merge returns s with the parts of changes put over it and the removed ones left out.
+// Merge returns a copy of s in which the parts of changes are added or replaced and the removed ones are left out.
 func (s Set) Merge(changes Set, removed []string) Set {
 	out := maps.Clone(s)
 	if out == nil {
@@ -22,7 +22,7 @@
 	return out
 }
 
-// Names returns the part names in order.
+// Names returns the part names in alphabetical order.
 func (s Set) Names() []string { return sortedKeys(s) }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -5,7 +5,8 @@
 	"net/netip"
 )
 
-// Validate checks the references between the parts of a whole configuration.
+// Validate checks a whole configuration for what the schema of single files cannot express, such as references between
+// parts and unique names.
 func (s Set) Validate() Problems {
 	v := validator{set: s, seen: make(map[string]string)}
 	pool, ok := s[string(KindPool)]
@@ -28,7 +29,7 @@
 
 type validator struct {
 	set      Set
-	seen     map[string]string // unique things and the place that declared each first
+	seen     map[string]string // where each name that must be unique was first declared, by kind and name
 	problems Problems
 }
 
@@ -36,11 +37,11 @@
 	v.problems = append(v.problems, Problem{file, field, fmt.Sprintf(format, args...)})
 }
 
-// unique reports a thing that stands twice.
-func (v *validator) unique(file, field, what, name string) {
-	key := what + " " + name
+// unique adds a problem if the name has already been declared for this kind.
+func (v *validator) unique(file, field, kind, name string) {
+	key := kind + " " + name
 	if first, taken := v.seen[key]; taken {
-		v.add(file, field, "%s %q is declared already at %s; names must differ", what, name, first)
+		v.add(file, field, "%s %q is declared already at %s; names must differ", kind, name, first)
 		return
 	}
 	v.seen[key] = file + field
@@ -52,9 +53,9 @@
 	}
 }
 
-func (v *validator) credentials(file, field, what string, list []Credential) {
+func (v *validator) credentials(file, field, kind string, list []Credential) {
 	for i, c := range list {
-		v.unique(file, fmt.Sprintf("%s/%d/token_sha256", field, i), what+" token hash", c.TokenSHA256)
+		v.unique(file, fmt.Sprintf("%s/%d/token_sha256", field, i), kind+" token hash", c.TokenSHA256)
 	}
 }
 
@@ -89,24 +90,24 @@
 	}
 	v.credentials(p.File, "/operators", "operator", w.Operators)
 	v.credentials(p.File, "/callers", "caller", w.Callers)
-	known := make(map[string]bool)
+	declared := make(map[string]bool)
 	for i, m := range w.Models {
 		field := fmt.Sprintf("/models/%d", i)
 		v.unique(p.File, field+"/name", "model", m.Name)
-		known[m.Name] = true
+		declared[m.Name] = true
 		v.model(p.File, field, m)
 	}
 	for i, s := range w.Services {
 		field := fmt.Sprintf("/services/%d", i)
 		v.unique(p.File, field+"/name", "service of "+w.Name, s.Name)
-		known[s.Name] = true
+		declared[s.Name] = true
 		for j, e := range s.Endpoints {
 			v.address(p.File, fmt.Sprintf("%s/endpoints/%d/address", field, j), e.Address)
 			v.unique(p.File, fmt.Sprintf("%s/endpoints/%d/name", field, j), "endpoint", e.Name)
 		}
 	}
 	for i, o := range w.Objectives {
-		if !known[o.Service] {
+		if !declared[o.Service] {
 			v.add(p.File, fmt.Sprintf("/objectives/%d/service", i), "%q is neither a model nor a service of this workspace", o.Service)
 		}
 	}
--- a/internal/config/workspace.go
+++ b/internal/config/workspace.go
@@ -1,6 +1,6 @@
 package config
 
-// Workspace is the part that belongs to one team.
+// Workspace is the configuration part of one team.
 type Workspace struct {
 	Kind       Kind         `json:"kind"`
 	Name       string       `json:"name"`
