--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -19,7 +19,7 @@
 	return config.CompileSchema("gateway.schema.json", gatewaySchemaJSON)
 })
 
-// Gateway are the settings of a process that serves a platform's callers.
+// Gateway holds the settings of a process that serves a platform's callers.
 type Gateway struct {
 	VM         string `json:"vm"`
 	DataCentre string `json:"data_centre"`
@@ -28,28 +28,32 @@
 	CallerAddress    string `json:"caller_address"`
 	ReadinessAddress string `json:"readiness_address"`
 	RegistryAddress  string `json:"registry_address"`
-	PeerAddress      string `json:"peer_address"` // drpc calls of other nodes, and their datagrams
+	PeerAddress      string `json:"peer_address"` // for drpc calls and datagrams from other nodes
 	MetricsAddress   string `json:"metrics_address,omitempty"`
 	StoreAddress     string `json:"store_address"`
-	// Capacity is the VM's share of processors, in cores.
+	// Capacity is the processor capacity available to this VM, in cores.
 	Capacity float64 `json:"capacity,omitempty"`
-	// FirstStart says that the fleet starts for the first time: no node of it is known to the store yet.
+	// FirstStart means that the fleet starts for the first time, so that no node is registered in the store yet.
 	FirstStart bool `json:"first_start,omitempty"`
-	// Peers are peer addresses of some nodes, to be tried before any is known.
+	// Peers holds the peer addresses of some nodes, to contact first while no other node is known.
 	Peers []string `json:"peers,omitempty"`
 
-	CredentialProofMS int `json:"credential_proof_ms"` // a credential counts while the configuration was proved current
-	// CredentialProofRequired says whether a credential counts only with that proof. Without it a node that cannot
-	// reach the store goes on with the newest configuration it has.
+	// CredentialProofMS is the maximum age of the proof that the configuration is current. Credentials are accepted while the
+	// proof is newer.
+	CredentialProofMS int `json:"credential_proof_ms"`
+	// CredentialProofRequired means that credentials are accepted only with that proof. Otherwise a node that cannot
+	// reach the store continues with the newest configuration it has.
 	CredentialProofRequired bool `json:"credential_proof_required"`
 
-	// Evacuations says whether operators take data centres out of use on this platform; their list is watched then.
+	// Evacuations means that operators take data centres out of use on this platform. The list of these is watched only if
+	// it is set.
 	Evacuations bool `json:"evacuations,omitempty"`
 
-	// EndpointBeatMS is how often endpoints write their entries in the store; one that has not for three such is removed.
+	// EndpointBeatMS is the interval at which endpoints rewrite their entries in the store. An entry that was not written
+	// for three intervals is removed.
 	EndpointBeatMS int `json:"endpoint_beat_ms,omitempty"`
 
-	GraceMS            int     `json:"grace_ms"` // from the order to stop until the process is killed
+	GraceMS            int     `json:"grace_ms"` // from the stop signal until the process is killed
 	AddressLifetimeMS  int     `json:"address_lifetime_ms"`
 	RepeatRatio        float64 `json:"repeat_ratio"`
 	RepeatSlack        float64 `json:"repeat_slack"`
@@ -62,7 +66,7 @@
 
 var gatewayDefaults = Gateway{CredentialProofRequired: true, Capacity: 1, EndpointBeatMS: 1200, LeaseTTLMS: 1500, LogLevel: "info", SampleOneIn: 20, FailureLinesSecond: 20}
 
-// ReadGateway reads and checks the file; the error names every faulty field.
+// ReadGateway reads and validates the file. The error lists all invalid fields.
 func ReadGateway(file string) (*Gateway, error) {
 	content, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -71,7 +75,7 @@
 	return ParseGateway(file, content)
 }
 
-// ParseGateway checks the content of the file.
+// ParseGateway parses and validates the content of the file.
 func ParseGateway(file string, content []byte) (*Gateway, error) {
 	if problems := config.CheckSchema(gatewaySchema(), file, content); problems != nil {
 		return nil, problems
@@ -99,20 +103,20 @@
 	return &s, nil
 }
 
-// CredentialProof is how old the proof of the configuration may be for requests with a credential.
+// CredentialProof returns the maximum age of the proof that the configuration is current, for requests with a credential.
 func (s *Gateway) CredentialProof() time.Duration { return millis(s.CredentialProofMS) }
 
-// EndpointBeat is how often endpoints write their entries.
+// EndpointBeat returns the interval at which endpoints rewrite their entries.
 func (s *Gateway) EndpointBeat() time.Duration { return millis(s.EndpointBeatMS) }
 
-// Grace is the time from the order to stop until the process is killed.
+// Grace returns the time from the stop signal until the process is killed.
 func (s *Gateway) Grace() time.Duration { return millis(s.GraceMS) }
 
-// AddressLifetime is how long callers may keep an answer to which address to use.
+// AddressLifetime returns how long callers may cache the list of addresses to use.
 func (s *Gateway) AddressLifetime() time.Duration { return millis(s.AddressLifetimeMS) }
 
-// LeaseTTL is the term of the leader's lease.
+// LeaseTTL returns the term of the leader's lease.
 func (s *Gateway) LeaseTTL() time.Duration { return millis(s.LeaseTTLMS) }
 
-// RepeatWindow is the window in which repeats are counted.
+// RepeatWindow returns the window in which retries are counted.
 func (s *Gateway) RepeatWindow() time.Duration { return millis(s.RepeatWindowMS) }
--- a/internal/settings/listen.go
+++ b/internal/settings/listen.go
@@ -4,7 +4,7 @@
 	_ "embed"
 )
 
-// Listen are addresses to listen on.
+// Listen holds the addresses to listen on.
 type Listen struct {
 	Caller string `json:"caller,omitempty"`
 	Admin  string `json:"admin,omitempty"`
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -4,7 +4,7 @@
 	_ "embed"
 )
 
-// Platform are the addresses of the platform's services.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	ObjectAPI   string `json:"object_api"`
 	VMList      string `json:"vm_list"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings of one moorrund process.
+// Package settings reads and validates the settings of a moorrund process.
 package settings
 
 import (
@@ -21,21 +21,21 @@
 	return config.CompileSchema("settings.json", schemaJSON)
 })
 
-// Settings are what a process is told at its start.
+// Settings holds the settings that a process reads at its start.
 type Settings struct {
 	VM            string `json:"vm"`
 	DataCentre    string `json:"data_centre"`
-	CallerAddress string `json:"caller_address"` // told to callers
-	AdminAddress  string `json:"admin_address"`  // told to operators
-	PeerAddress   string `json:"peer_address"`   // told to other nodes
+	CallerAddress string `json:"caller_address"` // published to callers
+	AdminAddress  string `json:"admin_address"`  // published to operators
+	PeerAddress   string `json:"peer_address"`   // published to other nodes
 
-	// Listen overrides the addresses to listen on, where they differ from those told.
+	// Listen overrides the addresses to listen on where they differ from the published ones.
 	Listen Listen `json:"listen,omitzero"`
 
 	Platform Platform `json:"platform"`
-	// Peers are peer addresses to ask while the platform does not answer.
+	// Peers holds the peer addresses of other nodes to contact while the platform does not answer.
 	Peers []string `json:"peers,omitempty"`
-	// BootstrapOperatorSHA256 is the hash of the token that may apply the very first configuration.
+	// BootstrapOperatorSHA256 is the hash of the token that may apply the first configuration.
 	BootstrapOperatorSHA256 string `json:"bootstrap_operator_sha256,omitempty"`
 
 	HeartbeatMS       int     `json:"heartbeat_ms,omitempty"`
@@ -47,10 +47,11 @@
 	StoreReads        float64 `json:"store_reads_per_second,omitempty"`
 	StoreWrites       float64 `json:"store_writes_per_second,omitempty"`
 	LogLevel          string  `json:"log_level,omitempty"`
-	// PlacesPolicy is "shared", or "split" for an equal part of every group's places a node, which is there
-	// to be compared with.
+	// PlacesPolicy is PlacesShared, or PlacesSplit to give each node an equal part of every group's places.
+	// PlacesSplit is a baseline for comparison.
 	PlacesPolicy string `json:"places_policy,omitempty"`
-	// QueuePolicy is "deadline", or "fifo" for queues bounded in length only, which is there to be compared with.
+	// QueuePolicy is QueueDeadline, or QueueFIFO for queues that are bounded only by length, not by expected wait.
+	// QueueFIFO is a baseline for comparison.
 	QueuePolicy string `json:"queue_policy,omitempty"`
 }
 
@@ -66,14 +67,14 @@
 	QueueFIFO     = "fifo"
 )
 
-// defaults are used for what the file leaves out.
+// defaults holds the values of settings that the file omits.
 var defaults = Settings{
 	HeartbeatMS: 250, PollMS: 500, EvidenceMS: 1900, LeaseTTLMS: 6000, AddressLifetimeMS: 10000,
 	ReloadMS: 30000, StoreReads: 20, StoreWrites: 5, LogLevel: "info",
 	PlacesPolicy: PlacesShared, QueuePolicy: QueueDeadline,
 }
 
-// Read reads and checks the file; the error names every faulty field.
+// Read reads and validates the file. The error lists all invalid fields.
 func Read(file string) (*Settings, error) {
 	content, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -82,7 +83,7 @@
 	return Parse(file, content)
 }
 
-// Parse checks the content of the file.
+// Parse parses and validates the content of the file.
 func Parse(file string, content []byte) (*Settings, error) {
 	if problems := config.CheckSchema(schema(), file, content); problems != nil {
 		return nil, problems
@@ -91,20 +92,20 @@
 	if err := json.Unmarshal(content, &s); err != nil {
 		return nil, config.Problems{{File: file, Field: "/", Message: err.Error()}}
 	}
-	s.Listen.Caller = or(s.Listen.Caller, s.CallerAddress)
-	s.Listen.Admin = or(s.Listen.Admin, s.AdminAddress)
-	s.Listen.Peer = or(s.Listen.Peer, s.PeerAddress)
+	s.Listen.Caller = withDefault(s.Listen.Caller, s.CallerAddress)
+	s.Listen.Admin = withDefault(s.Listen.Admin, s.AdminAddress)
+	s.Listen.Peer = withDefault(s.Listen.Peer, s.PeerAddress)
 	if problems := s.checkAddresses(file); problems != nil {
 		return nil, problems
 	}
 	return &s, nil
 }
 
-func or(a, b string) string {
-	if a != "" {
-		return a
+func withDefault(value, fallback string) string {
+	if value != "" {
+		return value
 	}
-	return b
+	return fallback
 }
 
 func (s *Settings) checkAddresses(file string) config.Problems {
@@ -125,7 +126,7 @@
 	return problems
 }
 
-// checkAddress returns what is wrong with an address, if anything.
+// checkAddress returns a problem if address is not an IP address with a port.
 func checkAddress(file, field, address string) config.Problems {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return config.Problems{{File: file, Field: field, Message: err.Error() + "; write an IP address and a port, such as 10.0.0.1:7000"}}
@@ -133,22 +134,22 @@
 	return nil
 }
 
-// Heartbeat is the longest silence between two nodes.
+// Heartbeat returns the longest time that either side of a link goes without sending a message.
 func (s *Settings) Heartbeat() time.Duration { return millis(s.HeartbeatMS) }
 
-// Poll is how often an engine is asked for its state.
+// Poll returns the interval at which an engine is polled for its state.
 func (s *Settings) Poll() time.Duration { return millis(s.PollMS) }
 
-// Evidence is how long a replica group may be used after the oldest last answer of its VMs.
+// Evidence returns how long a replica group may be used after the oldest of the last answers of its VMs.
 func (s *Settings) Evidence() time.Duration { return millis(s.EvidenceMS) }
 
-// LeaseTTL is the term of a data centre's lease.
+// LeaseTTL returns the term of a data centre's lease.
 func (s *Settings) LeaseTTL() time.Duration { return millis(s.LeaseTTLMS) }
 
-// AddressLifetime is how long callers may keep the answer to which address to use.
+// AddressLifetime returns how long callers may cache the list of addresses to use.
 func (s *Settings) AddressLifetime() time.Duration { return millis(s.AddressLifetimeMS) }
 
-// Reload is how long a replica group is thought to take to load before one has been measured.
+// Reload returns the assumed load time of a replica group if none has been measured.
 func (s *Settings) Reload() time.Duration { return millis(s.ReloadMS) }
 
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,11 +9,11 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-const good = `{"vm":"entry-1","data_centre":"rvk-1","caller_address":"10.0.0.1:7000","admin_address":"10.0.0.1:7001",
+const validSettings = `{"vm":"entry-1","data_centre":"rvk-1","caller_address":"10.0.0.1:7000","admin_address":"10.0.0.1:7001",
 "peer_address":"10.0.0.1:7002","platform":{"object_api":"10.0.1.1:80","vm_list":"10.0.1.1:81","weight_store":"10.0.1.1:82"}}`
 
 func TestDefaultsFillWhatIsLeftOut(t *testing.T) {
-	s, err := settings.Parse("s.json", []byte(good))
+	s, err := settings.Parse("s.json", []byte(validSettings))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, s.HeartbeatMS, qt.Equals, 250)
 	qt.Check(t, s.Listen.Peer, qt.Equals, "10.0.0.1:7002")
@@ -31,18 +31,18 @@
 		{`"vm":"entry-1"`, `"vm":"entry-1","heartbeat_ms":"quick"`, "/heartbeat_ms"},
 	}
 	for _, c := range cases {
-		_, err := settings.Parse("s.json", []byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := settings.Parse("s.json", []byte(strings.Replace(validSettings, c.from, c.to, 1)))
 		qt.Check(t, err, qt.ErrorMatches, `(?s)s\.json: .*`+c.expect+`.*`)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		s, err := settings.Parse("s.json", content)
 		if err == nil && (s.VM == "" || s.Heartbeat() <= 0 || s.Evidence() <= 0) {
-			t.Fatalf("%s gave %+v", content, s)
+			t.Fatalf("%s was parsed as %+v", content, s)
 		}
 	})
 }
