--- a/internal/burn/burnplot/bar_colors.go
+++ b/internal/burn/burnplot/bar_colors.go
@@ -2,7 +2,7 @@
 
 import "image/color"
 
-// barColors tell the windows apart, also in grey.
+// barColors are the colours of the windows, which can be distinguished in greyscale too.
 var barColors = []color.Color{
 	color.RGBA{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
 	color.RGBA{R: 0xe6, G: 0x9f, B: 0x00, A: 0xff},
--- a/internal/burn/burnplot/plot.go
+++ b/internal/burn/burnplot/plot.go
@@ -17,8 +17,8 @@
 	barWidth   = vg.Length(12)
 )
 
-// Plot writes the report's burn rates as bars, one group a service and one bar a window. The file's ending
-// names the format: .svg, .png or .pdf.
+// Plot draws the report's burn rates to a file, as one group of bars per service with one bar per window. The file name
+// extension selects the format: .svg, .png or .pdf.
 func Plot(r burn.Report, file string) error {
 	p := plot.New()
 	p.Title.Text = "Service-level burn"
--- a/internal/burn/outcome.go
+++ b/internal/burn/outcome.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Outcome is how one request ended for its caller.
+// Outcome is the outcome of one request for its caller.
 type Outcome struct {
-	Failed     bool // refused, cut or failed
+	Failed     bool // refused, cut off or failed
 	Latency    time.Duration
-	FirstToken time.Duration // 0 when the answer is no stream
+	FirstToken time.Duration // 0 if the answer is not a stream
 }
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -1,5 +1,5 @@
-// Package burn counts how requests end against the declared objectives, for the report on
-// service-level burn.
+// Package burn counts good and bad requests against the declared objectives, for the report on service-level burn:
+// how fast services spend their error budgets.
 package burn
 
 import (
@@ -13,11 +13,11 @@
 )
 
 const (
-	longestMillis = 10 * 60 * 1000
-	digits        = 2
+	maxRecordedMillis = 10 * 60 * 1000 // longer times are recorded as this one
+	significantDigits = 2              // precision of the histograms
 )
 
-// Recorder counts this node's requests.
+// Recorder counts this node's requests by service.
 type Recorder struct {
 	started   time.Time
 	objective func(workspace, service string) (config.Objective, bool)
@@ -35,7 +35,7 @@
 	firstToken *hdrhistogram.Histogram // milliseconds
 }
 
-// NewRecorder returns an empty Recorder; objective gives what a service is held to.
+// NewRecorder returns an empty Recorder. objective returns the objective of a service.
 func NewRecorder(objective func(workspace, service string) (config.Objective, bool)) *Recorder {
 	return &Recorder{started: clock.Now(), objective: objective, services: make(map[serviceKey]*service)}
 }
@@ -46,8 +46,8 @@
 	s, ok := r.services[key]
 	if !ok {
 		s = &service{
-			latency:    hdrhistogram.New(1, longestMillis, digits),
-			firstToken: hdrhistogram.New(1, longestMillis, digits),
+			latency:    hdrhistogram.New(1, maxRecordedMillis, significantDigits),
+			firstToken: hdrhistogram.New(1, maxRecordedMillis, significantDigits),
 		}
 		for _, w := range Windows {
 			s.rings = append(s.rings, newRing(w))
@@ -57,7 +57,7 @@
 	return s
 }
 
-// Record counts one request.
+// Record counts one request to the model or service with the given name.
 func (r *Recorder) Record(workspace, name string, o Outcome) {
 	objective, _ := r.objective(workspace, name)
 	s := r.service(serviceKey{workspace, name})
@@ -65,7 +65,7 @@
 	defer s.mu.Unlock()
 	at := clock.Since(r.started)
 	for _, ring := range s.rings {
-		ring.add(at, bad(o, objective))
+		ring.add(at, isBad(o, objective))
 	}
 	if o.Failed {
 		return
@@ -76,16 +76,16 @@
 	}
 }
 
-func bad(o Outcome, objective config.Objective) bool {
+func isBad(o Outcome, objective config.Objective) bool {
 	late := func(d time.Duration, limitMS int) bool {
 		return limitMS > 0 && d > time.Duration(limitMS)*time.Millisecond
 	}
 	return o.Failed || late(o.Latency, objective.LatencyMS) || late(o.FirstToken, objective.FirstTokenMS)
 }
 
-func clampMillis(d time.Duration) int64 { return min(max(1, d.Milliseconds()), longestMillis) }
+func clampMillis(d time.Duration) int64 { return min(max(1, d.Milliseconds()), maxRecordedMillis) }
 
-// Snapshot returns what this node has counted.
+// Snapshot returns the counts of all services.
 func (r *Recorder) Snapshot() []ServiceCounts {
 	r.mu.Lock()
 	keys := make([]serviceKey, 0, len(r.services))
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Report is the burn of every service over all nodes asked.
+// Report is the burn of every service, summed over nodes.
 type Report struct {
 	Nodes    int             `json:"nodes"`
 	Services []ServiceReport `json:"services"`
 	Losses   []GroupLosses   `json:"losses"`
 }
 
-// Merge makes the report from the snapshots of many nodes; a node that stands twice counts once.
+// Merge returns the report on the counts of several nodes. A node that is listed twice is counted once.
 func Merge(nodes []NodeCounts) Report {
 	seen := make(map[string]bool)
-	merged := make(map[serviceKey]*merging)
+	mergers := make(map[serviceKey]*serviceMerger)
 	losses := make(map[string]*GroupLosses)
 	report := Report{}
 	for _, n := range nodes {
@@ -27,10 +27,10 @@
 		report.Nodes++
 		for _, c := range n.Services {
 			key := serviceKey{c.Workspace, c.Service}
-			if merged[key] == nil {
-				merged[key] = newMerging(c)
+			if mergers[key] == nil {
+				mergers[key] = newServiceMerger(c)
 			}
-			merged[key].add(c)
+			mergers[key].add(c)
 		}
 		for _, l := range n.Losses {
 			if losses[l.Workspace] == nil {
@@ -40,7 +40,7 @@
 			losses[l.Workspace].StrandedSeconds += l.StrandedSeconds
 		}
 	}
-	for _, m := range merged {
+	for _, m := range mergers {
 		report.Services = append(report.Services, m.report())
 	}
 	for _, l := range losses {
--- a/internal/burn/service_counts.go
+++ b/internal/burn/service_counts.go
@@ -2,7 +2,7 @@
 
 import "moorrun.dev/moorrun/internal/config"
 
-// ServiceCounts is what one node has counted for one model or service.
+// ServiceCounts holds one node's counts for one model or service.
 type ServiceCounts struct {
 	Workspace    string           `json:"workspace"`
 	Service      string           `json:"service"`
@@ -12,7 +12,7 @@
 	FirstTokenMS []byte           `json:"first_token_ms"` // encoded HDR histogram
 }
 
-// WindowCounts is one window of ServiceCounts.
+// WindowCounts holds the counts of one window.
 type WindowCounts struct {
 	Window string `json:"window"`
 	Total  int64  `json:"total"`
--- a/internal/burn/merging.go
+++ b/internal/burn/service_merger.go
@@ -4,18 +4,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// merging is one service while its counts are summed up.
-type merging struct {
+// serviceMerger sums one service's counts over nodes.
+type serviceMerger struct {
 	counts     ServiceCounts
 	latency    *hdrhistogram.Histogram
 	firstToken *hdrhistogram.Histogram
 }
 
-func newMerging(c ServiceCounts) *merging {
-	m := &merging{
+func newServiceMerger(c ServiceCounts) *serviceMerger {
+	m := &serviceMerger{
 		counts:     ServiceCounts{Workspace: c.Workspace, Service: c.Service, Objective: c.Objective},
-		latency:    hdrhistogram.New(1, longestMillis, digits),
-		firstToken: hdrhistogram.New(1, longestMillis, digits),
+		latency:    hdrhistogram.New(1, maxRecordedMillis, significantDigits),
+		firstToken: hdrhistogram.New(1, maxRecordedMillis, significantDigits),
 	}
 	for _, w := range Windows {
 		m.counts.Windows = append(m.counts.Windows, WindowCounts{Window: w.Name})
@@ -23,7 +23,7 @@
 	return m
 }
 
-func (m *merging) add(c ServiceCounts) {
+func (m *serviceMerger) add(c ServiceCounts) {
 	for i := range m.counts.Windows {
 		for _, w := range c.Windows {
 			if w.Window == m.counts.Windows[i].Window {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (m *merging) report() ServiceReport {
+func (m *serviceMerger) report() ServiceReport {
 	r := ServiceReport{
 		Workspace: m.counts.Workspace, Service: m.counts.Service, Availability: m.counts.Objective.Availability,
 		LatencyP50: m.latency.ValueAtQuantile(50), LatencyP99: m.latency.ValueAtQuantile(99),
--- a/internal/burn/window.go
+++ b/internal/burn/window.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Window is a length of time over which burn is reported.
+// Window is a period up to now over which burn is reported.
 type Window struct {
 	Name   string
 	Length time.Duration
 	bucket time.Duration
 }
 
-// Windows are the reported windows. A replaced VM starts with empty ones: the fleet has no disks.
+// Windows holds the reported windows. Counts are kept in memory only, since the fleet has no disks, so a replaced VM
+// starts with empty windows.
 var Windows = []Window{
 	{"5m", 5 * time.Minute, 10 * time.Second},
 	{"1h", time.Hour, time.Minute},
@@ -17,17 +18,17 @@
 	{"3d", 72 * time.Hour, time.Hour},
 }
 
-// counts are the requests of one window or bucket.
+// counts holds the numbers of requests in one window or bucket.
 type counts struct {
 	Total int64 `json:"total"`
 	Bad   int64 `json:"bad"`
 }
 
-// ring counts over one window in buckets.
+// ring counts requests over one window in buckets, of which the oldest is reused for the newest.
 type ring struct {
 	bucket  time.Duration
 	buckets []counts
-	index   int64 // number of the newest bucket since the epoch of the process's clock
+	index   int64 // number of the newest bucket, counted from the start of the Recorder
 }
 
 func newRing(w Window) *ring {
