--- a/internal/admin/burn.go
+++ b/internal/admin/burn.go
@@ -9,7 +9,7 @@
 	"moorrun.dev/moorrun/internal/clock"
 )
 
-// burn answers with this node's counts; the command line asks every node and merges them.
+// burn returns this node's counts. The command line queries every node and merges them.
 func (s *Server) burn(r *request) error {
 	self := s.Members.Self(clock.Now())
 	out := burn.NodeCounts{
@@ -20,5 +20,5 @@
 		out.Services = slices.DeleteFunc(out.Services, func(c burn.ServiceCounts) bool { return c.Workspace != r.scope.Workspace })
 		out.Losses = slices.DeleteFunc(out.Losses, func(l burn.GroupLosses) bool { return l.Workspace != r.scope.Workspace })
 	}
-	return r.answer(fasthttp.StatusOK, out)
+	return r.respond(fasthttp.StatusOK, out)
 }
--- a/internal/admin/configuration.go
+++ b/internal/admin/configuration.go
@@ -13,29 +13,30 @@
 	"moorrun.dev/moorrun/internal/config"
 )
 
+// revision returns the accepted revision and the one in force at this node.
 func (s *Server) revision(r *request) error {
-	ctx, cancel := context.WithTimeout(r.ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(r.ctx, storeTimeout)
 	defer cancel()
 	head, _, err := s.Store.Head(ctx)
 	if err != nil {
 		return err
 	}
-	answer := adminapi.Revision{Accepted: head.Revision}
+	out := adminapi.Revision{Accepted: head.Revision}
 	if c := s.Current(); c != nil {
-		answer.InForce = c.Revision
+		out.InForce = c.Revision
 	}
-	return r.answer(fasthttp.StatusOK, answer)
+	return r.respond(fasthttp.StatusOK, out)
 }
 
-// configuration answers with the accepted parts that the operator may change.
+// configuration returns the accepted parts that the operator may change.
 func (s *Server) configuration(r *request) error {
-	ctx, cancel := context.WithTimeout(r.ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(r.ctx, storeTimeout)
 	defer cancel()
 	head, _, err := s.Store.Head(ctx)
 	if err != nil {
 		return err
 	}
-	answer := adminapi.Configuration{Revision: head.Revision, Parts: make(map[string]json.RawMessage)}
+	out := adminapi.Configuration{Revision: head.Revision, Parts: make(map[string]json.RawMessage)}
 	for name, ref := range head.Parts {
 		if !r.scope.Covers(name) {
 			continue
@@ -44,18 +45,20 @@
 		if err != nil {
 			return err
 		}
-		answer.Parts[name] = part.Content()
+		out.Parts[name] = part.Content()
 	}
-	return r.answer(fasthttp.StatusOK, answer)
+	return r.respond(fasthttp.StatusOK, out)
 }
 
+// apply accepts the files of the request, or only checks them in a dry run. The call to the store is not
+// cancelled by a shutdown of the server.
 func (s *Server) apply(r *request) error {
 	var in adminapi.ApplyRequest
 	if err := json.Unmarshal(r.ctx.PostBody(), &in); err != nil {
-		return r.refuse(fasthttp.StatusBadRequest, "the body is no apply request: "+err.Error())
+		return r.respondError(fasthttp.StatusBadRequest, "the body is no apply request: "+err.Error())
 	}
 	if in.Operation == "" {
-		return r.refuse(fasthttp.StatusBadRequest, "operation: give the apply a unique id")
+		return r.respondError(fasthttp.StatusBadRequest, "operation: give the apply a unique id")
 	}
 	files := make(map[string][]byte, len(in.Files))
 	for name, content := range in.Files {
@@ -63,25 +66,25 @@
 	}
 	set, problems := config.ParseSet(files)
 	if problems != nil {
-		return r.answer(fasthttp.StatusUnprocessableEntity, accept.Result{Status: accept.Invalid, Operation: in.Operation, Problems: problems})
+		return r.respond(fasthttp.StatusUnprocessableEntity, accept.Result{Status: accept.Invalid, Operation: in.Operation, Problems: problems})
 	}
 	request := accept.Request{
 		Operation: in.Operation, Base: in.Base, Changes: set, Remove: in.Remove, Scope: r.scope, By: r.operator(),
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), writeTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), storeTimeout)
 	defer cancel()
-	work := s.Store.Apply
+	submit := s.Store.Apply
 	if in.DryRun {
-		work = s.Store.Check
+		submit = s.Store.Check
 	}
-	result, err := work(ctx, request)
+	result, err := submit(ctx, request)
 	if err != nil {
 		return err
 	}
-	return r.answer(statusOf(result.Status), result)
+	return r.respond(httpStatus(result.Status), result)
 }
 
-func statusOf(s accept.Status) int {
+func httpStatus(s accept.Status) int {
 	switch s {
 	case accept.Conflict:
 		return fasthttp.StatusConflict
@@ -94,7 +97,7 @@
 	}
 }
 
-// operator names who asks, for the other operators' messages.
+// operator describes the requesting operator, for messages to other operators.
 func (r *request) operator() string {
 	if r.scope.Pool {
 		return "an operator of the pool"
@@ -102,8 +105,9 @@
 	return "an operator of workspace " + r.scope.Workspace
 }
 
+// operation returns the outcome of an earlier apply request.
 func (s *Server) operation(r *request) error {
-	ctx, cancel := context.WithTimeout(r.ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(r.ctx, storeTimeout)
 	defer cancel()
 	result, err := s.Store.OperationResult(ctx, strings.TrimPrefix(string(r.ctx.Path()), adminapi.PathOperation))
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -113,5 +117,5 @@
 	if err != nil {
 		return err
 	}
-	return r.answer(statusOf(result.Status), result)
+	return r.respond(httpStatus(result.Status), result)
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,4 +1,5 @@
-// Package admin answers operators: the administration API, metrics and health.
+// Package admin implements a node's HTTP server for operators: the administration API, metrics, health checks and
+// profiles.
 package admin
 
 import (
@@ -31,13 +32,13 @@
 )
 
 const (
-	maxBody      = 16 << 20
-	writeTimeout = 10 * time.Second // for the platform's store to take a write
-	bearer       = "Bearer "
+	maxBodyBytes = 16 << 20
+	storeTimeout = 10 * time.Second // for all calls to the platform's store by one request, writes included
+	bearerPrefix = "Bearer "
 	profilePath  = "/debug/pprof/"
 )
 
-// Options are the parts a Server is made of.
+// Options holds the components of the node that a Server uses.
 type Options struct {
 	Store     *accept.Store
 	Objects   infra.ObjectStore
@@ -53,13 +54,13 @@
 	Checker   *invariant.Checker
 	Metrics   *metrics.Reporter
 	Logger    log.Logger
-	// Bootstrap is the hash of the token that may apply the first configuration.
+	// Bootstrap is the hash of the token that may apply the first configuration. Empty means that there is none.
 	Bootstrap string
-	// Ready reports whether the node takes requests, and why not.
+	// Ready reports whether the node accepts requests, and if not, the reason.
 	Ready func() (bool, string)
 }
 
-// Server is the operators' side of a node.
+// Server is a node's HTTP server for operators.
 type Server struct {
 	Options
 	started time.Time
@@ -70,18 +71,18 @@
 func New(o Options) *Server {
 	s := &Server{Options: o, started: clock.Now()}
 	s.http = &fasthttp.Server{
-		Handler: s.handle, Name: "moorrun", MaxRequestBodySize: maxBody, CloseOnShutdown: true, NoDefaultServerHeader: true,
+		Handler: s.handle, Name: "moorrun", MaxRequestBodySize: maxBodyBytes, CloseOnShutdown: true, NoDefaultServerHeader: true,
 	}
 	return s
 }
 
-// Serve answers on lis until Shutdown.
+// Serve serves connections on lis until Shutdown is called.
 func (s *Server) Serve(lis net.Listener) error { return s.http.Serve(lis) }
 
-// Shutdown stops the server.
+// Shutdown closes the listeners and waits for running requests until ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.ShutdownWithContext(ctx) }
 
-// route is one path of the API.
+// route is the method and the handler of one path of the API.
 type route struct {
 	method string
 	serve  func(*request) error
@@ -118,7 +119,7 @@
 		r, ok = route{fasthttp.MethodGet, s.operation}, true
 	}
 	if !ok {
-		answerError(ctx, fasthttp.StatusNotFound, "no such path")
+		writeError(ctx, fasthttp.StatusNotFound, "no such path")
 		return
 	}
 	s.serve(ctx, r)
@@ -126,27 +127,27 @@
 
 func (s *Server) serve(ctx *fasthttp.RequestCtx, r route) {
 	if string(ctx.Method()) != r.method {
-		answerError(ctx, fasthttp.StatusMethodNotAllowed, "use "+r.method)
+		writeError(ctx, fasthttp.StatusMethodNotAllowed, "use "+r.method)
 		return
 	}
 	scope, ok := s.authorize(ctx)
 	if !ok {
-		answerError(ctx, fasthttp.StatusUnauthorized, "give an operator's credential as Authorization: Bearer TOKEN")
+		writeError(ctx, fasthttp.StatusUnauthorized, "give an operator's credential as Authorization: Bearer TOKEN")
 		return
 	}
 	if err := r.serve(&request{ctx, scope}); err != nil {
 		_ = level.Warn(s.Logger).Log("msg", "administration call failed", "path", string(ctx.Path()), "err", err)
-		answerError(ctx, fasthttp.StatusServiceUnavailable, err.Error())
+		writeError(ctx, fasthttp.StatusServiceUnavailable, err.Error())
 	}
 }
 
-// request is one authorized call.
+// request is one authorized API call.
 type request struct {
 	ctx   *fasthttp.RequestCtx
 	scope config.Scope
 }
 
-func (r *request) answer(status int, v any) error {
+func (r *request) respond(status int, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -157,21 +158,22 @@
 	return nil
 }
 
-func (r *request) refuse(status int, message string) error {
-	return r.answer(status, adminapi.Problem{Error: message})
+func (r *request) respondError(status int, message string) error {
+	return r.respond(status, adminapi.Problem{Error: message})
 }
 
-func answerError(ctx *fasthttp.RequestCtx, status int, message string) {
-	_ = (&request{ctx: ctx}).refuse(status, message)
+func writeError(ctx *fasthttp.RequestCtx, status int, message string) {
+	_ = (&request{ctx: ctx}).respondError(status, message)
 }
 
-// authorize finds out what the operator may change. Before the first configuration the bootstrap token may all.
+// authorize returns the scope of the operator whose token the request carries. Until a first configuration is in force,
+// only the bootstrap token is accepted, with the scope of the whole pool.
 func (s *Server) authorize(ctx *fasthttp.RequestCtx) (config.Scope, bool) {
 	header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
-	if !strings.HasPrefix(header, bearer) {
+	if !strings.HasPrefix(header, bearerPrefix) {
 		return config.Scope{}, false
 	}
-	token := header[len(bearer):]
+	token := header[len(bearerPrefix):]
 	current := s.Current()
 	if current == nil {
 		hash := config.HashToken(token)
@@ -180,29 +182,29 @@
 	return current.OperatorScope(token)
 }
 
-// profile serves Go's profiles to operators of the pool.
+// profile serves the Go runtime's profiles to operators of the pool.
 func (s *Server) profile(ctx *fasthttp.RequestCtx) {
 	if scope, ok := s.authorize(ctx); !ok || !scope.Pool {
-		answerError(ctx, fasthttp.StatusUnauthorized, "give a credential of an operator of the pool")
+		writeError(ctx, fasthttp.StatusUnauthorized, "give a credential of an operator of the pool")
 		return
 	}
 	pprofhandler.PprofHandler(ctx)
 }
 
 func (s *Server) metrics(ctx *fasthttp.RequestCtx) {
-	var page bytes.Buffer
-	if err := s.Metrics.Write(&page); err != nil {
+	var text bytes.Buffer
+	if err := s.Metrics.Write(&text); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
 	ctx.SetContentType("text/plain; version=0.0.4")
-	ctx.SetBody(page.Bytes())
+	ctx.SetBody(text.Bytes())
 }
 
 func (s *Server) ready(ctx *fasthttp.RequestCtx) {
-	ok, why := s.Ready()
+	ok, reason := s.Ready()
 	if !ok {
-		ctx.Error(why+"\n", fasthttp.StatusServiceUnavailable)
+		ctx.Error(reason+"\n", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	ctx.SetBodyString("ready\n")
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -16,6 +16,7 @@
 	"moorrun.dev/moorrun/internal/membership"
 )
 
+// status returns this node's view of the fleet. Groups, endpoints and workspaces are limited to the operator's scope.
 func (s *Server) status(r *request) error {
 	now := clock.Now()
 	self := s.Members.Self(now)
@@ -37,7 +38,7 @@
 			out.Workspaces = append(out.Workspaces, l)
 		}
 	}
-	return r.answer(fasthttp.StatusOK, out)
+	return r.respond(fasthttp.StatusOK, out)
 }
 
 func (s *Server) addGroups(out *adminapi.Status, scope config.Scope, now time.Time) {
@@ -88,7 +89,7 @@
 	}
 }
 
-// inForce lists every registered or heard node with the revision in force at it.
+// inForce lists all nodes that are registered or were heard from, with the revision in force at each.
 func (s *Server) inForce(r *request) error {
 	now := clock.Now()
 	nodes := make(map[string]adminapi.NodeRevision)
@@ -108,5 +109,5 @@
 		out.Nodes = append(out.Nodes, n)
 	}
 	slices.SortFunc(out.Nodes, func(a, b adminapi.NodeRevision) int { return cmp.Compare(a.VM, b.VM) })
-	return r.answer(fasthttp.StatusOK, out)
+	return r.respond(fasthttp.StatusOK, out)
 }
--- a/internal/adminapi/endpoint.go
+++ b/internal/adminapi/endpoint.go
@@ -1,6 +1,6 @@
 package adminapi
 
-// Endpoint is one endpoint of a plain service.
+// Endpoint is the status of one endpoint of a plain service.
 type Endpoint struct {
 	Name      string `json:"name"`
 	Workspace string `json:"workspace"`
--- a/internal/adminapi/group.go
+++ b/internal/adminapi/group.go
@@ -4,7 +4,7 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// Group is one replica group.
+// Group is the status of one replica group.
 type Group struct {
 	ID         string        `json:"id"`
 	Domain     string        `json:"domain"`
@@ -13,7 +13,7 @@
 	Model      string        `json:"model"`
 	Version    string        `json:"version"`
 	State      replica.State `json:"state"`
-	Usable     bool          `json:"usable"` // routers may use it now
+	Usable     bool          `json:"usable"` // routers may send requests to it now
 	VMs        []string      `json:"vms"`
 	Places     int           `json:"places"`
 	Reason     string        `json:"reason,omitempty"`
--- a/internal/adminapi/in_force.go
+++ b/internal/adminapi/in_force.go
@@ -1,6 +1,6 @@
 package adminapi
 
-// InForce says where a revision is in force.
+// InForce lists the revision in force at each node.
 type InForce struct {
 	Nodes []NodeRevision `json:"nodes"`
 }
--- a/internal/adminapi/node.go
+++ b/internal/adminapi/node.go
@@ -1,6 +1,6 @@
 package adminapi
 
-// Node is one moorrund process.
+// Node is the status of one moorrund process.
 type Node struct {
 	VM            string `json:"vm"`
 	DataCentre    string `json:"data_centre"`
@@ -8,5 +8,5 @@
 	AdminAddress  string `json:"admin_address"`
 	Revision      int64  `json:"revision"`
 	Draining      bool   `json:"draining"`
-	HeardMS       int64  `json:"heard_ms"` // since it was last certainly alive
+	HeardMS       int64  `json:"heard_ms"` // time since the process was last known to be alive
 }
--- a/internal/adminapi/paths.go
+++ b/internal/adminapi/paths.go
@@ -1,4 +1,4 @@
-// Package adminapi holds the messages of the administration API, shared by moorrund and the command line.
+// Package adminapi defines the paths and messages of the administration API, which moorrund and the command line share.
 package adminapi
 
 // Paths of the administration API.
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -1,6 +1,6 @@
 package adminapi
 
-// Problem is the body of a refused request.
+// Problem is the response body of a request that failed or was refused.
 type Problem struct {
 	Error string `json:"error"`
 }
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -4,7 +4,7 @@
 	"moorrun.dev/moorrun/internal/admission"
 )
 
-// Status is what one node knows.
+// Status is the state of the fleet as seen by one node.
 type Status struct {
 	VM         string           `json:"vm"`
 	Revision   int64            `json:"revision"`
--- a/internal/adminapi/vm.go
+++ b/internal/adminapi/vm.go
@@ -1,6 +1,6 @@
 package adminapi
 
-// VM is one engine VM.
+// VM is the status of one engine VM.
 type VM struct {
 	Name       string `json:"name"`
 	Domain     string `json:"domain"`
