--- a/cmd/moorrun/main.go
+++ b/cmd/moorrun/main.go
@@ -1,4 +1,4 @@
-// Command moorrun is the operators' command line.
+// Command moorrun is the command line tool for operators.
 package main
 
 import (
--- a/cmd/moorrund/cgo.go
+++ b/cmd/moorrund/cgo.go
@@ -5,4 +5,4 @@
 /*
 #include <stdlib.h>
 */
-import "C" // links the program against the system's C library, as the users' machines need it
+import "C" // links the program against the system's C library, which the users' machines require
--- a/internal/cmd/client.go
+++ b/internal/cmd/client.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	readTimeout  = 3 * time.Second // then the next node is asked
+	readTimeout  = 3 * time.Second // for a GET, after which the next node is tried
 	callTimeout  = 15 * time.Second
 	nodesEnv     = "MOORRUN_NODES"
 	defaultNodes = "127.0.0.1:7001"
@@ -55,7 +55,7 @@
 	return c, nil
 }
 
-// reply is one answer of the API.
+// reply is a response of the API.
 type reply struct {
 	status int
 	body   []byte
@@ -63,7 +63,7 @@
 
 func (r reply) decode(into any) error { return json.Unmarshal(r.body, into) }
 
-// problem returns the error that the API names.
+// problem returns the error in the response body, with an exit code for the response status.
 func (r reply) problem() error {
 	var p adminapi.Problem
 	if json.Unmarshal(r.body, &p) != nil || p.Error == "" {
@@ -75,7 +75,8 @@
 	return exitcode.New(exitcode.Failed, "%s", p.Error)
 }
 
-// call asks one node after the other until one answers; it is only for calls that may be repeated.
+// call sends a request to one node after another until one answers with a status other than 503. Several nodes may
+// process the request, so it must be safe to repeat.
 func (c *Client) call(method, path string, in any) (reply, error) {
 	var errs []error
 	for _, node := range c.nodes {
@@ -115,7 +116,7 @@
 	return reply{response.StatusCode(), append([]byte{}, response.Body()...)}, nil
 }
 
-// get decodes the answer of a GET.
+// get sends a GET request and decodes the response.
 func (c *Client) get(path string, into any) error {
 	r, err := c.call(fasthttp.MethodGet, path, nil)
 	if err != nil {
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the commands of moorrun, one a file.
+// Package cmd implements the commands of moorrun, one per file.
 package cmd
 
 import (
@@ -13,21 +13,21 @@
 	"moorrun.dev/moorrun/internal/exitcode"
 )
 
-// Command is one command of the command line.
+// Command is a command of moorrun, or one of its subcommands.
 type Command struct {
 	Name string
 	Desc string // one line
 	Args string // as shown in the usage, such as "DIR"
-	// NArgs is how many arguments it takes.
+	// NArgs is the number of positional arguments.
 	NArgs  int
 	Flags  func(*pflag.FlagSet)
 	Action func(*Env, []string) error
 	Sub    []*Command
 }
 
-// Env is what a command runs with.
+// Env is the environment of a running command.
 type Env struct {
-	Ctx    context.Context //nolint:containedctx // the life of one command
+	Ctx    context.Context //nolint:containedctx // ends with the command
 	Out    io.Writer
 	Flags  *pflag.FlagSet
 	Client *Client
@@ -35,17 +35,16 @@
 
 func (e *Env) printf(format string, args ...any) { _, _ = fmt.Fprintf(e.Out, format, args...) }
 
-func (e *Env) text(name string) string {
+func (e *Env) stringFlag(name string) string {
 	v, _ := e.Flags.GetString(name)
 	return v
 }
 
-func (e *Env) flag(name string) bool {
+func (e *Env) boolFlag(name string) bool {
 	v, _ := e.Flags.GetBool(name)
 	return v
 }
 
-// commands are the commands of moorrun.
 var commands = []*Command{
 	cmdCheck, cmdDiff, cmdApply, cmdGet, cmdStatus, cmdWhich, cmdDrain, cmdOperation, cmdReport, cmdTrace, cmdHash, cmdVersion,
 }
@@ -58,33 +57,33 @@
 	root.PersistentFlags().StringSlice("node", nodesFromEnv(), "administration addresses to use, tried in order (MOORRUN_NODES)")
 	root.PersistentFlags().String("token-file", os.Getenv("MOORRUN_TOKEN_FILE"), "file that holds the operator's credential (MOORRUN_TOKEN_FILE)")
 	for _, c := range commands {
-		root.AddCommand(c.cobra())
+		root.AddCommand(c.cobraCommand())
 	}
 	return exitcode.Run(root, args)
 }
 
-// cobra builds the library's form of the command.
-func (c *Command) cobra() *cobra.Command {
+// cobraCommand returns the command in the form of the cobra library.
+func (c *Command) cobraCommand() *cobra.Command {
 	use := c.Name
 	if c.Args != "" {
 		use += " " + c.Args
 	}
-	k := &cobra.Command{Use: use, Short: c.Desc, Args: cobra.ExactArgs(c.NArgs)}
+	command := &cobra.Command{Use: use, Short: c.Desc, Args: cobra.ExactArgs(c.NArgs)}
 	if c.Flags != nil {
-		c.Flags(k.Flags())
+		c.Flags(command.Flags())
 	}
 	for _, sub := range c.Sub {
-		k.AddCommand(sub.cobra())
+		command.AddCommand(sub.cobraCommand())
 	}
 	if c.Action != nil {
-		k.RunE = func(k *cobra.Command, args []string) error {
-			client, err := newClient(k.Flags())
+		command.RunE = func(command *cobra.Command, args []string) error {
+			client, err := newClient(command.Flags())
 			if err != nil {
 				return err
 			}
-			env := &Env{Ctx: k.Context(), Out: k.OutOrStdout(), Flags: k.Flags(), Client: client}
+			env := &Env{Ctx: command.Context(), Out: command.OutOrStdout(), Flags: command.Flags(), Client: client}
 			return exitcode.With(c.Action(env, args))
 		}
 	}
-	return k
+	return command
 }
--- a/internal/cmd/cmd_apply.go
+++ b/internal/cmd/cmd_apply.go
@@ -54,7 +54,7 @@
 	default:
 		return applyError(result)
 	}
-	if e.flag("wait") {
+	if e.boolFlag("wait") {
 		return e.waitInForce(result.Revision)
 	}
 	return nil
@@ -64,23 +64,23 @@
 	base, _ := e.Flags.GetInt64("if-revision")
 	remove, _ := e.Flags.GetStringSlice("remove")
 	request := adminapi.ApplyRequest{
-		Operation: e.text("operation"), Files: files, Remove: remove, Base: base, DryRun: e.flag("dry-run"),
+		Operation: e.stringFlag("operation"), Files: files, Remove: remove, Base: base, DryRun: e.boolFlag("dry-run"),
 	}
 	if request.Operation == "" {
 		request.Operation = uuid.NewString()
 	}
 	if base < 0 {
-		var now adminapi.Revision
-		if err := e.Client.get(adminapi.PathRevision, &now); err != nil {
+		var current adminapi.Revision
+		if err := e.Client.get(adminapi.PathRevision, &current); err != nil {
 			return request, err
 		}
-		request.Base = now.Accepted
+		request.Base = current.Accepted
 	}
 	return request, nil
 }
 
-// sendApply sends the request, again under the same operation id when its answer is lost, which never
-// applies it twice.
+// sendApply sends the request. If no response arrives, the request is sent to the next node with the same operation id,
+// which ensures that it is applied at most once.
 func (e *Env) sendApply(request adminapi.ApplyRequest) (accept.Result, error) {
 	var result accept.Result
 	r, err := e.Client.call(fasthttp.MethodPost, adminapi.PathApply, request)
@@ -107,10 +107,10 @@
 	}
 }
 
-// silentGrace is how long --wait waits for a registered node that is not heard.
-const silentGrace = 6 * time.Second
+// notLiveTimeout is how long --wait waits for a registered node that is not live.
+const notLiveTimeout = 6 * time.Second
 
-// waitInForce waits until every live node has the revision.
+// waitInForce waits until the revision is in force at every live node, up to the limit of --wait-timeout.
 func (e *Env) waitInForce(revision int64) error {
 	limit, _ := e.Flags.GetDuration("wait-timeout")
 	started := time.Now()
@@ -120,21 +120,21 @@
 		if err := e.Client.get(adminapi.PathInForce, &state); err != nil {
 			return err
 		}
-		there, lagging := 0, ""
+		updated, lagging := 0, ""
 		for _, n := range state.Nodes {
 			switch {
 			case n.Revision >= revision:
-				there++
-			case n.Live || time.Since(started) < silentGrace:
+				updated++
+			case n.Live || time.Since(started) < notLiveTimeout:
 				lagging += " " + n.VM
 			}
 		}
-		if there > 0 && lagging == "" {
-			e.printf("in force at %d of %d nodes\n", there, len(state.Nodes))
+		if updated > 0 && lagging == "" {
+			e.printf("in force at %d of %d nodes\n", updated, len(state.Nodes))
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return exitcode.New(exitcode.Failed, "in force at %d of %d nodes; not yet at:%s", there, len(state.Nodes), lagging)
+			return exitcode.New(exitcode.Failed, "in force at %d of %d nodes; not yet at:%s", updated, len(state.Nodes), lagging)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/cmd/cmd_check.go
+++ b/internal/cmd/cmd_check.go
@@ -14,7 +14,7 @@
 		if err != nil {
 			return err
 		}
-		if e.flag("whole") {
+		if e.boolFlag("whole") {
 			if problems := set.Validate(); problems != nil {
 				return problems
 			}
--- a/internal/cmd/cmd_diff.go
+++ b/internal/cmd/cmd_diff.go
@@ -14,11 +14,11 @@
 		if err != nil {
 			return err
 		}
-		var now adminapi.Revision
-		if err := e.Client.get(adminapi.PathRevision, &now); err != nil {
+		var current adminapi.Revision
+		if err := e.Client.get(adminapi.PathRevision, &current); err != nil {
 			return err
 		}
-		result, err := e.sendApply(adminapi.ApplyRequest{Operation: uuid.NewString(), Files: files, Base: now.Accepted, DryRun: true})
+		result, err := e.sendApply(adminapi.ApplyRequest{Operation: uuid.NewString(), Files: files, Base: current.Accepted, DryRun: true})
 		if err != nil {
 			return err
 		}
@@ -28,7 +28,7 @@
 		if result.Status == accept.Invalid || result.Status == accept.Conflict {
 			return applyError(result)
 		}
-		e.printf("%d changes to revision %d\n", len(result.Changes), now.Accepted)
+		e.printf("%d changes to revision %d\n", len(result.Changes), current.Accepted)
 		return nil
 	},
 }
--- a/internal/cmd/cmd_drain.go
+++ b/internal/cmd/cmd_drain.go
@@ -13,7 +13,7 @@
 	Name: "drain", Desc: "take a VM or endpoint out of use, or back into use with --undo", Args: "NAME", NArgs: 1,
 	Flags: func(f *pflag.FlagSet) { f.Bool("undo", false, "put it back into use") },
 	Action: func(e *Env, args []string) error {
-		request := adminapi.DrainRequest{Name: args[0], Drained: !e.flag("undo"), Operation: uuid.NewString()}
+		request := adminapi.DrainRequest{Name: args[0], Drained: !e.boolFlag("undo"), Operation: uuid.NewString()}
 		r, err := e.Client.call(fasthttp.MethodPost, adminapi.PathDrain, request)
 		if err != nil {
 			return exitcode.New(exitcode.Unknown, "outcome unknown, run the command again: %w", err)
@@ -21,7 +21,7 @@
 		if r.status != fasthttp.StatusOK {
 			return r.problem()
 		}
-		e.printf("%s is %s\n", args[0], word(request.Drained, "drained", "back in use"))
+		e.printf("%s is %s\n", args[0], choose(request.Drained, "drained", "back in use"))
 		return nil
 	},
 }
--- a/internal/cmd/cmd_get.go
+++ b/internal/cmd/cmd_get.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	ownerOnly     = 0o600
-	ownerOnlyTree = 0o700
+	ownerFileMode = 0o600
+	ownerDirMode  = 0o700
 )
 
 var cmdGet = &Command{
@@ -25,11 +25,11 @@
 		if err := e.Client.get(adminapi.PathConfiguration, &c); err != nil {
 			return err
 		}
-		into := e.text("into")
+		into := e.stringFlag("into")
 		if into == "" {
 			return e.printJSON(c)
 		}
-		if err := os.MkdirAll(into, ownerOnlyTree); err != nil {
+		if err := os.MkdirAll(into, ownerDirMode); err != nil {
 			return err
 		}
 		for name, content := range c.Parts {
@@ -38,7 +38,7 @@
 				return err
 			}
 			file := filepath.Join(into, strings.ReplaceAll(name, "/", "-")+".json")
-			if err := os.WriteFile(file, append(pretty.Bytes(), '\n'), ownerOnly); err != nil {
+			if err := os.WriteFile(file, append(pretty.Bytes(), '\n'), ownerFileMode); err != nil {
 				return err
 			}
 		}
--- a/internal/cmd/cmd_report.go
+++ b/internal/cmd/cmd_report.go
@@ -23,20 +23,20 @@
 		f.String("plot", "", "file to draw the burn rates into: .svg, .png or .pdf")
 	},
 	Action: func(e *Env, _ []string) error {
-		report, silent, err := e.burnReport()
+		report, missing, err := e.burnReport()
 		if err != nil {
 			return err
 		}
-		if file := e.text("plot"); file != "" {
+		if file := e.stringFlag("plot"); file != "" {
 			if err := burnplot.Plot(report, file); err != nil {
 				return err
 			}
 		}
-		if e.text("output") == "json" {
+		if e.stringFlag("output") == "json" {
 			return e.printJSON(report)
 		}
 		e.printf("%d nodes asked; the counts start anew when a VM is replaced\n", report.Nodes)
-		for _, n := range silent {
+		for _, n := range missing {
 			e.printf("no answer from %s: its requests are missing\n", n)
 		}
 		e.burnTables(report)
@@ -44,24 +44,24 @@
 	},
 }
 
-// burnReport asks every node and merges what they say.
+// burnReport returns the merged counts of all nodes, and the VMs of the nodes whose counts are missing.
 func (e *Env) burnReport() (burn.Report, []string, error) {
 	var s adminapi.Status
 	if err := e.Client.get(adminapi.PathStatus, &s); err != nil {
 		return burn.Report{}, nil, err
 	}
 	var nodes []burn.NodeCounts
-	var silent []string
+	var missing []string
 	for _, n := range s.Nodes {
 		r, err := e.Client.callNode(n.AdminAddress, fasthttp.MethodGet, adminapi.PathBurn, nil)
 		var counts burn.NodeCounts
 		if err != nil || r.status != fasthttp.StatusOK || r.decode(&counts) != nil {
-			silent = append(silent, n.VM)
+			missing = append(missing, n.VM)
 			continue
 		}
 		nodes = append(nodes, counts)
 	}
-	return burn.Merge(nodes), silent, nil
+	return burn.Merge(nodes), missing, nil
 }
 
 func (e *Env) burnTables(report burn.Report) {
@@ -81,7 +81,7 @@
 	e.table(header+"\tBUDGET LEFT\tP50 MS\tP99 MS\tFIRST TOKEN P95 MS", rows)
 	rows = nil
 	for _, l := range report.Losses {
-		rows = append(rows, row(word(l.Workspace != "", l.Workspace, "(in no group)"), fmt.Sprintf("%.1f", l.DowntimeSeconds), fmt.Sprintf("%.1f", l.StrandedSeconds)))
+		rows = append(rows, row(choose(l.Workspace != "", l.Workspace, "(in no group)"), fmt.Sprintf("%.1f", l.DowntimeSeconds), fmt.Sprintf("%.1f", l.StrandedSeconds)))
 	}
 	e.table("WORKSPACE\tGROUP DOWNTIME S\tSTRANDED ACCELERATOR S", rows)
 }
--- a/internal/cmd/cmd_status.go
+++ b/internal/cmd/cmd_status.go
@@ -18,7 +18,7 @@
 		if err := e.Client.get(adminapi.PathStatus, &s); err != nil {
 			return err
 		}
-		if e.text("output") == "json" {
+		if e.stringFlag("output") == "json" {
 			return e.printJSON(s)
 		}
 		e.printf("revision %d as seen by %s; %d invariant checks, %d breaches\n", s.Revision, s.VM, s.Checks, s.Breaches)
@@ -33,7 +33,7 @@
 
 func outputFlag(f *pflag.FlagSet) { f.StringP("output", "o", "table", "table or json") }
 
-// table prints rows under a header, each row's cells separated by tabs.
+// table prints a header and rows, whose cells are separated by tabs. It prints nothing if there are no rows.
 func (e *Env) table(header string, rows []string) {
 	if len(rows) == 0 {
 		return
@@ -47,6 +47,7 @@
 	_ = w.Flush()
 }
 
+// row joins the cells of a table row with tabs.
 func row(cells ...any) string {
 	text := make([]string, len(cells))
 	for i, c := range cells {
@@ -55,8 +56,8 @@
 	return strings.Join(text, "\t")
 }
 
-func word(on bool, yes, no string) string {
-	if on {
+func choose(condition bool, yes, no string) string {
+	if condition {
 		return yes
 	}
 	return no
@@ -65,7 +66,7 @@
 func (e *Env) nodeTable(s adminapi.Status) {
 	var rows []string
 	for _, n := range s.Nodes {
-		rows = append(rows, row(n.VM, n.DataCentre, n.CallerAddress, n.Revision, word(n.Draining, "draining", "serving"), n.HeardMS))
+		rows = append(rows, row(n.VM, n.DataCentre, n.CallerAddress, n.Revision, choose(n.Draining, "draining", "serving"), n.HeardMS))
 	}
 	e.table("NODE\tDATA CENTRE\tADDRESS\tREVISION\tSTATE\tHEARD MS AGO", rows)
 }
@@ -73,7 +74,7 @@
 func (e *Env) groupTable(s adminapi.Status) {
 	var rows []string
 	for _, g := range s.Groups {
-		rows = append(rows, row(g.ID, g.Domain, g.Workspace, g.Model, g.Version, g.State, word(g.Usable, "yes", "no"), strings.Join(g.VMs, ",")))
+		rows = append(rows, row(g.ID, g.Domain, g.Workspace, g.Model, g.Version, g.State, choose(g.Usable, "yes", "no"), strings.Join(g.VMs, ",")))
 	}
 	e.table("REPLICA GROUP\tDOMAIN\tWORKSPACE\tMODEL\tVERSION\tSTATE\tUSABLE\tVMS", rows)
 }
@@ -82,7 +83,7 @@
 	var rows []string
 	for _, v := range s.VMs {
 		if v.Group == "" || v.Drained {
-			rows = append(rows, row(v.Name, v.Domain, v.DataCentre, word(v.Group != "", v.Group, "-"), word(v.Drained, "drained", "free")))
+			rows = append(rows, row(v.Name, v.Domain, v.DataCentre, choose(v.Group != "", v.Group, "-"), choose(v.Drained, "drained", "free")))
 		}
 	}
 	e.table("VM OUT OF USE\tDOMAIN\tDATA CENTRE\tGROUP\tWHY", rows)
@@ -99,7 +100,7 @@
 func (e *Env) endpointTable(s adminapi.Status) {
 	var rows []string
 	for _, p := range s.Endpoints {
-		rows = append(rows, row(p.Name, p.Workspace, p.Service, p.Address, word(p.Drained, "drained", "in use")))
+		rows = append(rows, row(p.Name, p.Workspace, p.Service, p.Address, choose(p.Drained, "drained", "in use")))
 	}
 	e.table("ENDPOINT\tWORKSPACE\tSERVICE\tADDRESS\tSTATE", rows)
 }
--- a/internal/cmd/cmd_trace.go
+++ b/internal/cmd/cmd_trace.go
@@ -21,24 +21,24 @@
 		if err != nil {
 			return err
 		}
-		story := trace.ForRequest(args[0], lines)
-		if len(story) == 0 {
+		related := trace.ForRequest(args[0], lines)
+		if len(related) == 0 {
 			return exitcode.New(exitcode.Failed, "no line about request %s: it may not have reached these nodes, or was not sampled; see docs/OPERATIONS.md", args[0])
 		}
-		if e.text("output") == "json" {
-			return e.printJSON(story)
+		if e.stringFlag("output") == "json" {
+			return e.printJSON(related)
 		}
 		var rows []string
-		for i := range story {
-			l := &story[i]
-			rows = append(rows, row(l.Time(), l.VM, word(l.Own, "*", ""), l.Event, l.Details()))
+		for i := range related {
+			l := &related[i]
+			rows = append(rows, row(l.Time(), l.VM, choose(l.Own, "*", ""), l.Event, l.Details()))
 		}
 		e.table("TIME\tVM\tOWN\tEVENT\tDETAILS", rows)
 		return nil
 	},
 }
 
-// readLogs reads the logs that the flags name, or standard input.
+// readLogs reads the log files given by --log, or standard input if there are none.
 func (e *Env) readLogs() ([]trace.Line, error) {
 	files, _ := e.Flags.GetStringSlice("log")
 	if len(files) == 0 {
--- a/internal/cmd/cmd_which.go
+++ b/internal/cmd/cmd_which.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		if e.text("output") == "json" {
+		if e.stringFlag("output") == "json" {
 			return e.printJSON(answer)
 		}
 		for _, a := range answer.Addresses {
--- a/internal/cmd/files.go
+++ b/internal/cmd/files.go
@@ -9,7 +9,7 @@
 	"moorrun.dev/moorrun/internal/exitcode"
 )
 
-// readFiles reads the JSON files of a directory, or one file, and checks each against the schema.
+// readFiles reads one file, or the .json files of a directory, checks each against the schema and parses them as a set.
 func readFiles(path string) (map[string]json.RawMessage, config.Set, error) {
 	info, err := os.Stat(path)
 	if err != nil {
