--- a/internal/config/endpoint.go
+++ b/internal/config/endpoint.go
@@ -10,8 +10,8 @@
 	Places  int    `json:"places,omitempty"` // maximum number of concurrent calls; 0 for DefaultEndpointPlaces
 }
 
-// AtOnce returns the maximum number of concurrent calls to the endpoint.
-func (e Endpoint) AtOnce() int {
+// MaxConcurrentCalls returns Places, or DefaultEndpointPlaces if the endpoint declares none.
+func (e Endpoint) MaxConcurrentCalls() int {
 	if e.Places == 0 {
 		return DefaultEndpointPlaces
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,7 +112,7 @@
 		}
 		return dataCentre
 	})
-	n.observer = observer.New(n.fleet, engine, book, current, n.takeover, s.Poll(), s.Evidence())
+	n.observer = observer.New(n.fleet, engine, book, current, n.takeover, s.PollInterval(), s.EvidenceLifetime())
 	services := routing.NewServices(n.drains, current)
 	n.places = places.NewServer(n.fleet.Members, router, services, current, checker)
 	n.peerServer = peer.NewServer(n.fleet, n.configTracker, n.places)
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -193,7 +193,7 @@
 	var out []allocator.Group
 	if routing.IsServicePool(pool) {
 		for _, e := range s.services.Endpoints(pool) {
-			out = append(out, allocator.Group{ID: e.Name, Places: e.AtOnce()})
+			out = append(out, allocator.Group{ID: e.Name, Places: e.MaxConcurrentCalls()})
 		}
 		return out
 	}
--- a/internal/server/proof.go
+++ b/internal/server/proof.go
@@ -23,7 +23,7 @@
 			return
 		}
 		age := now.Sub(n.follower.Current(keys.Accepted))
-		if was := stale; was == (age > n.settings.CredentialProof()) {
+		if was := stale; was == (age > n.settings.ProofLimit()) {
 			return
 		}
 		stale = !stale
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -150,7 +150,7 @@
 	})
 	decisions := eventlog.NewDecisions(logger, eventlog.Limits{SampleOneIn: s.SampleOneIn, Failures: s.FailureLinesSecond})
 	n.gateway = gateway.New(gateway.Options{
-		Table: n.table.Load, Proof: func() time.Time { return n.follower.Current(keys.Accepted) }, ProofLimit: s.CredentialProof(),
+		Table: n.table.Load, Proof: func() time.Time { return n.follower.Current(keys.Accepted) }, ProofLimit: s.ProofLimit(),
 		ProofOptional: !s.CredentialProofRequired,
 		Picker:        n.picker, Quarantine: n.quarantine, Inquiry: n.inquiry, Limits: retry.Limits{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow()},
 		Nodes:      n.nodeCounts,
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -62,7 +62,7 @@
 		return true
 	}
 	age := now.Sub(n.follower.Current(keys.Accepted))
-	return float64(age) < serveFraction*float64(n.settings.CredentialProof())
+	return float64(age) < serveFraction*float64(n.settings.ProofLimit())
 }
 
 // ready reports whether this node accepts new callers.
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -103,8 +103,8 @@
 	return &s, nil
 }
 
-// CredentialProof returns the maximum age of the proof that the configuration is current, for requests with a credential.
-func (s *Gateway) CredentialProof() time.Duration { return millis(s.CredentialProofMS) }
+// ProofLimit returns the maximum age of the proof that the configuration is current, for requests with a credential.
+func (s *Gateway) ProofLimit() time.Duration { return millis(s.CredentialProofMS) }
 
 // EndpointBeat returns the interval at which endpoints rewrite their entries.
 func (s *Gateway) EndpointBeat() time.Duration { return millis(s.EndpointBeatMS) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -137,11 +137,11 @@
 // Heartbeat returns the longest time that either side of a link goes without sending a message.
 func (s *Settings) Heartbeat() time.Duration { return millis(s.HeartbeatMS) }
 
-// Poll returns the interval at which an engine is polled for its state.
-func (s *Settings) Poll() time.Duration { return millis(s.PollMS) }
+// PollInterval returns the interval at which an engine is polled for its state.
+func (s *Settings) PollInterval() time.Duration { return millis(s.PollMS) }
 
-// Evidence returns how long a replica group may be used after the oldest of the last answers of its VMs.
-func (s *Settings) Evidence() time.Duration { return millis(s.EvidenceMS) }
+// EvidenceLifetime returns how long a replica group may be used after the oldest of the last answers of its VMs.
+func (s *Settings) EvidenceLifetime() time.Duration { return millis(s.EvidenceMS) }
 
 // LeaseTTL returns the term of a data centre's lease.
 func (s *Settings) LeaseTTL() time.Duration { return millis(s.LeaseTTLMS) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -41,7 +41,7 @@
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		s, err := settings.Parse("s.json", content)
-		if err == nil && (s.VM == "" || s.Heartbeat() <= 0 || s.Evidence() <= 0) {
+		if err == nil && (s.VM == "" || s.Heartbeat() <= 0 || s.EvidenceLifetime() <= 0) {
 			t.Fatalf("%s was parsed as %+v", content, s)
 		}
 	})
