--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Diff returns the changes that turn the set from into the set to, ordered by part name.
+// Diff returns the changes from one set to another, ordered by part name.
 func Diff(from, to Set) []Change {
 	names := make(map[string]bool)
 	for n := range from {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// ParseSet parses all files. It returns the problems of every file, and one for each part that two files declare.
+// ParseSet parses all files. It returns the problems of all files together, including parts that two files declare.
 func ParseSet(files map[string][]byte) (Set, Problems) {
 	set := make(Set, len(files))
 	var problems Problems
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -1,6 +1,7 @@
 package config
 
-// Pool is the configuration part that applies to the whole pool. Only the operators it lists may change it.
+// Pool is the configuration part that applies to the whole pool. The operators that it lists may change all
+// parts.
 type Pool struct {
 	Kind      Kind         `json:"kind"`
 	Operators []Credential `json:"operators"`
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -12,7 +12,7 @@
 // String returns the problem on one line.
 func (p Problem) String() string { return p.File + ": " + p.Field + ": " + p.Message }
 
-// Problems is a list of problems. It implements error.
+// Problems holds all problems found, so that they are reported together. It implements error.
 type Problems []Problem
 
 // Error returns the problems, one per line.
