--- a/test/gateway/fleet_test.go
+++ b/test/gateway/fleet_test.go
@@ -1,4 +1,4 @@
-// Package gateway tests moorrund's gateway as real processes before a stand-in of the users' platform.
+// Package gateway tests real processes of moorrund's gateway in front of a stand-in for the users' platform.
 package gateway
 
 import (
@@ -25,11 +25,11 @@
 	"moorrun.dev/moorrun/internal/standin/estate"
 )
 
-// patience bounds waits that only a broken product makes long.
-const patience = 20 * time.Second
+// waitTimeout bounds waits that exceed it only if moorrund is faulty.
+const waitTimeout = 20 * time.Second
 
-// program is the daemon, built once.
-var program string
+// daemonPath is the path of the daemon, which is built once for all tests.
+var daemonPath string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -39,9 +39,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(dir) //nolint:errcheck // a temporary folder
-	program = filepath.Join(dir, "moorrund")
-	out, err := exec.Command("go", "build", "-race", "-o", program, "moorrun.dev/moorrun/cmd/moorrund").CombinedOutput()
+	defer os.RemoveAll(dir) //nolint:errcheck // a temporary directory
+	daemonPath = filepath.Join(dir, "moorrund")
+	out, err := exec.Command("go", "build", "-race", "-o", daemonPath, "moorrun.dev/moorrun/cmd/moorrund").CombinedOutput()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err, string(out))
 		return 1
@@ -53,33 +53,33 @@
 type node struct {
 	settings settings.Gateway
 	command  *exec.Cmd
-	log      string // file
-	ended    chan error
+	logFile  string // path
+	exited   chan error
 }
 
-// fleet is three nodes before an estate of eight engine workers and two plain ones.
+// fleet is three nodes in front of a platform with eight engine workers and two plain ones.
 type fleet struct {
-	t      *testing.T
-	dir    string // of settings and logs
-	estate *estate.Estate
-	nodes  []*node
-	next   int
-	mu     sync.Mutex
+	t        *testing.T
+	dir      string // for settings and logs
+	platform *estate.Estate
+	nodes    []*node
+	attempts int
+	mu       sync.Mutex
 }
 
-// hosts numbers loopback addresses of this process: a port that is free at one of its own is not taken by anybody's outgoing
-// connection before the node listens there.
-var hosts atomic.Int32
+// loopbackHosts numbers the loopback hosts of this process. Outgoing connections do not use these hosts, so that none takes a
+// free port before the node listens on it.
+var loopbackHosts atomic.Int32
 
-// freeAddresses returns addresses with ports of the kernel's choice, all at one loopback address.
+// freeAddresses returns n addresses on one loopback host, with ports chosen by the kernel.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
-	host := fmt.Sprintf("127.%d.%d.1:0", 7+os.Getpid()%240, hosts.Add(1))
+	host := fmt.Sprintf("127.%d.%d.1:0", 7+os.Getpid()%240, loopbackHosts.Add(1))
 	var out []string
 	for range n {
 		lis, err := net.Listen("tcp", host)
 		qt.Assert(t, err, qt.IsNil)
-		defer lis.Close() //nolint:errcheck // only its port is wanted
+		defer lis.Close() //nolint:errcheck // only its port is needed
 		out = append(out, lis.Addr().String())
 	}
 	return out
@@ -90,23 +90,23 @@
 	return newFleetWith(t, func(*settings.Gateway) {})
 }
 
-// newFleetWith starts a fleet whose nodes' settings have been changed by adjust.
+// newFleetWith starts a fleet after calling adjust on the settings of each node.
 func newFleetWith(t *testing.T, adjust func(s *settings.Gateway)) *fleet {
 	t.Helper()
-	f := &fleet{t: t, estate: estate.New(), dir: t.TempDir()}
-	t.Cleanup(f.close) // after the folder was made, so that the logs can still be read
-	f.estate.Configure(1, 5000, "key-1", "key-2")
+	f := &fleet{t: t, platform: estate.New(), dir: t.TempDir()}
+	t.Cleanup(f.close) // registered after TempDir, so that it can read the logs before they are removed
+	f.platform.Configure(1, 5000, "key-1", "key-2")
 	for range 8 {
-		f.estate.Add("engines")
+		f.platform.Add("engines")
 	}
 	for range 2 {
-		f.estate.Add("plain")
+		f.platform.Add("plain")
 	}
 	for i := range 3 {
 		free := freeAddresses(t, 5)
-		n := &node{log: filepath.Join(f.dir, fmt.Sprintf("log-%d", i)), settings: settings.Gateway{
+		n := &node{logFile: filepath.Join(f.dir, fmt.Sprintf("log-%d", i)), settings: settings.Gateway{
 			VM: fmt.Sprintf("vm-%d", i), DataCentre: "z1", Region: "r1", CallerAddress: free[0], ReadinessAddress: free[1],
-			RegistryAddress: free[2], PeerAddress: free[3], MetricsAddress: free[4], StoreAddress: f.estate.Store.Address(),
+			RegistryAddress: free[2], PeerAddress: free[3], MetricsAddress: free[4], StoreAddress: f.platform.Store.Address(),
 			CredentialProofMS: 5000, CredentialProofRequired: true, GraceMS: 6000, AddressLifetimeMS: 1000, RepeatRatio: 0.2, RepeatSlack: 100, RepeatWindowMS: 10000,
 			SampleOneIn: 1, FailureLinesSecond: 1000,
 		}}
@@ -122,9 +122,9 @@
 		}
 		return true
 	})
-	f.await("four groups are open", func() bool { return len(f.estate.OpenHeads()) == 4 })
+	f.await("four groups are open", func() bool { return len(f.platform.OpenHeads()) == 4 })
 	for _, n := range f.nodes {
-		f.await("the node has heard of the open groups", func() bool { return f.stream(n, "key-1").whole() })
+		f.await("the node routes to the open groups", func() bool { return f.stream(n, "key-1").isComplete() })
 	}
 	return f
 }
@@ -134,25 +134,25 @@
 	raw, err := json.Marshal(n.settings)
 	qt.Assert(f.t, err, qt.IsNil)
 	qt.Assert(f.t, os.WriteFile(file, raw, 0o600), qt.IsNil)
-	log, err := os.OpenFile(n.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(n.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	qt.Assert(f.t, err, qt.IsNil)
-	n.command = exec.Command(program, "gateway", "--settings", file)
+	n.command = exec.Command(daemonPath, "gateway", "--settings", file)
 	n.command.Stdout, n.command.Stderr = log, log
 	qt.Assert(f.t, n.command.Start(), qt.IsNil)
-	n.ended = make(chan error, 1)
-	go func() { n.ended <- n.command.Wait(); _ = log.Close() }()
+	n.exited = make(chan error, 1)
+	go func() { n.exited <- n.command.Wait(); _ = log.Close() }()
 }
 
 func (f *fleet) close() {
 	for _, n := range f.nodes {
 		_ = n.command.Process.Kill()
-		<-n.ended
+		<-n.exited
 	}
-	breaches := f.estate.Breaches()
-	f.estate.Close()
+	breaches := f.platform.Breaches()
+	f.platform.Close()
 	qt.Check(f.t, breaches, qt.HasLen, 0)
 	for _, n := range f.nodes {
-		content, _ := os.ReadFile(n.log)
+		content, _ := os.ReadFile(n.logFile)
 		if strings.Contains(string(content), "DATA RACE") {
 			f.t.Errorf("%s: %s", n.settings.VM, content)
 		} else if f.t.Failed() {
@@ -161,12 +161,12 @@
 	}
 }
 
-// await waits until a condition holds; the deadline is for a broken product only.
-func (f *fleet) await(what string, holds func() bool) {
+// await polls until a condition holds, and fails the test after waitTimeout.
+func (f *fleet) await(description string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			f.t.Fatalf("it never came that %s", what)
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			f.t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
@@ -176,23 +176,23 @@
 	if err != nil {
 		return false
 	}
-	defer r.Body.Close() //nolint:errcheck // nothing is read
+	defer r.Body.Close() //nolint:errcheck // the body is not read
 	return r.StatusCode == http.StatusOK
 }
 
-func (n *node) kill() { _ = n.command.Process.Kill(); <-n.ended }
+func (n *node) kill() { _ = n.command.Process.Kill(); <-n.exited }
 
 func (n *node) signal(s syscall.Signal) { _ = n.command.Process.Signal(s) }
 
-// logged counts how often the text stands in the node's log.
-func (n *node) logged(text string) int {
-	content, _ := os.ReadFile(n.log)
+// countLogged returns the number of occurrences of the text in the node's log.
+func (n *node) countLogged(text string) int {
+	content, _ := os.ReadFile(n.logFile)
 	return strings.Count(string(content), text)
 }
 
-// leads reports whether the node's log says that it holds the lease.
+// leads reports whether the node holds the lease according to the last lease record in its log.
 func (n *node) leads() bool {
-	content, _ := os.ReadFile(n.log)
+	content, _ := os.ReadFile(n.logFile)
 	last := strings.LastIndex(string(content), `"msg":"lease"`)
 	if last < 0 {
 		return false
@@ -216,7 +216,7 @@
 	return leader
 }
 
-// result is what a caller got.
+// result is what a caller received in answer to a request.
 type result struct {
 	id     string
 	status int
@@ -226,8 +226,8 @@
 	err    error
 }
 
-// whole reports whether the stream came whole and belongs to the request.
-func (r *result) whole() bool {
+// isComplete reports whether the stream has all its events and belongs to the request.
+func (r *result) isComplete() bool {
 	if r.err != nil || r.status != http.StatusOK || len(r.events) != estate.Events {
 		return false
 	}
@@ -240,13 +240,13 @@
 }
 
 func (f *fleet) request(ctx context.Context, n *node, method, path, credential string) (*http.Response, string, error) {
-	return f.requestWith(ctx, n, method, path, credential, "body")
+	return f.requestWithBody(ctx, n, method, path, credential, "body")
 }
 
-func (f *fleet) requestWith(ctx context.Context, n *node, method, path, credential, body string) (*http.Response, string, error) {
+func (f *fleet) requestWithBody(ctx context.Context, n *node, method, path, credential, body string) (*http.Response, string, error) {
 	f.mu.Lock()
-	f.next++
-	id := fmt.Sprintf("attempt-%d", f.next)
+	f.attempts++
+	id := fmt.Sprintf("attempt-%d", f.attempts)
 	f.mu.Unlock()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+n.settings.CallerAddress+path, strings.NewReader(body))
 	if err != nil {
@@ -262,13 +262,13 @@
 	return answer, id, err
 }
 
-// stream asks for a stream and reads it to its end.
+// stream sends a request for a stream and reads the stream to its end.
 func (f *fleet) stream(n *node, credential string) *result {
 	answer, id, err := f.request(context.Background(), n, http.MethodPost, "/lm/x", credential)
 	if err != nil {
 		return &result{id: id, err: err}
 	}
-	defer answer.Body.Close() //nolint:errcheck // it is read to its end
+	defer answer.Body.Close() //nolint:errcheck // the body is read to its end
 	out := &result{id: id, status: answer.StatusCode, header: answer.Header}
 	in := bufio.NewScanner(answer.Body)
 	var event []string
@@ -284,19 +284,19 @@
 	return out
 }
 
-// call asks a plain route.
+// call sends a request and reads the whole body of the answer.
 func (f *fleet) call(n *node, path, credential string) *result {
 	answer, id, err := f.request(context.Background(), n, http.MethodPost, path, credential)
 	if err != nil {
 		return &result{id: id, err: err}
 	}
-	defer answer.Body.Close() //nolint:errcheck // it is read to its end
+	defer answer.Body.Close() //nolint:errcheck // the body is read to its end
 	body, err := io.ReadAll(answer.Body)
 	return &result{id: id, status: answer.StatusCode, header: answer.Header, body: string(body), err: err}
 }
 
-// interrupted lets twelve streams run, does something in the middle of them, and returns what became of them.
-func (f *fleet) interrupted(do func()) []*result {
+// runStreams runs twelve streams, calls interrupt while they run, and returns their results.
+func (f *fleet) runStreams(interrupt func()) []*result {
 	const streams = 12
 	results := make([]*result, streams)
 	var wg sync.WaitGroup
@@ -304,15 +304,15 @@
 		wg.Go(func() { results[i] = f.stream(f.nodes[i%3], "key-1") })
 	}
 	time.Sleep(4 * estate.EventGap)
-	do()
+	interrupt()
 	wg.Wait()
 	return results
 }
 
-// plain returns the workers that serve alone.
-func (f *fleet) plain() []*estate.Worker {
+// plainWorkers returns the workers of the plain service, which belong to no group.
+func (f *fleet) plainWorkers() []*estate.Worker {
 	var out []*estate.Worker
-	for _, w := range f.estate.Workers() {
+	for _, w := range f.platform.Workers() {
 		if w.Service == "plain" {
 			out = append(out, w)
 		}
@@ -320,12 +320,13 @@
 	return out
 }
 
-// kinds are the kinds of endpoints that requests are sent to: one of them, and how it may be reached.
-var kinds = []struct {
+// endpointKinds are the kinds of endpoints that take requests: pick returns an endpoint of the kind, and send sends a request
+// that any endpoint of the kind may receive.
+var endpointKinds = []struct {
 	name string
 	pick func(f *fleet) *estate.Worker
-	ask  func(f *fleet, n *node) *result
+	send func(f *fleet, n *node) *result
 }{
-	{"head of a group", func(f *fleet) *estate.Worker { return f.estate.OpenHeads()[0] }, func(f *fleet, n *node) *result { return f.stream(n, "key-1") }},
-	{"alone", func(f *fleet) *estate.Worker { return f.plain()[0] }, func(f *fleet, n *node) *result { return f.call(n, "/once/x", "key-1") }},
+	{"head of a group", func(f *fleet) *estate.Worker { return f.platform.OpenHeads()[0] }, func(f *fleet, n *node) *result { return f.stream(n, "key-1") }},
+	{"alone", func(f *fleet) *estate.Worker { return f.plainWorkers()[0] }, func(f *fleet, n *node) *result { return f.call(n, "/once/x", "key-1") }},
 }
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -17,13 +17,13 @@
 	"moorrun.dev/moorrun/internal/standin/estate"
 )
 
-func TestAnswersOfBothKindsComeWhole(t *testing.T) {
+func TestAnswersOfBothKindsAreComplete(t *testing.T) {
 	f := newFleet(t)
 	for _, n := range f.nodes {
 		s := f.stream(n, "key-2")
-		qt.Check(t, s.whole(), qt.IsTrue, qt.Commentf("%+v", s))
+		qt.Check(t, s.isComplete(), qt.IsTrue, qt.Commentf("%+v", s))
 		qt.Check(t, s.header.Get("X-Moorrun-Server-Seal"), qt.Equals, "seal-"+s.id)
-		qt.Check(t, f.estate.Runs(s.id)[0].Tenant, qt.Equals, "tenant-1")
+		qt.Check(t, f.platform.Runs(s.id)[0].Tenant, qt.Equals, "tenant-1")
 		c := f.call(n, "/once/x", "key-1")
 		qt.Check(t, c.body, qt.Equals, "whole answer to "+c.id)
 	}
@@ -32,7 +32,7 @@
 	}
 	r, err := http.Get("http://" + f.nodes[0].settings.RegistryAddress + "/v1/resolve?name=h.example&zone=z1")
 	qt.Assert(t, err, qt.IsNil)
-	defer r.Body.Close() //nolint:errcheck // it is read to its end
+	defer r.Body.Close() //nolint:errcheck // the body is read to its end
 	qt.Assert(t, json.NewDecoder(r.Body).Decode(&list), qt.IsNil)
 	qt.Check(t, list.Addresses, qt.HasLen, 3)
 	qt.Check(t, f.call(f.nodes[0], "/none/x", "key-1").status, qt.Equals, http.StatusNotFound)
@@ -41,69 +41,69 @@
 
 func TestStreamsOutliveTheDeathOfAHead(t *testing.T) {
 	f := newFleet(t)
-	for _, r := range f.interrupted(func() { f.estate.OpenHeads()[0].Kill(300 * time.Millisecond) }) {
-		qt.Check(t, r.whole(), qt.IsTrue, qt.Commentf("%s: status %d, %d events, %v", r.id, r.status, len(r.events), r.err))
-		qt.Check(t, len(f.estate.Runs(r.id)) <= 2, qt.IsTrue)
+	for _, r := range f.runStreams(func() { f.platform.OpenHeads()[0].Kill(300 * time.Millisecond) }) {
+		qt.Check(t, r.isComplete(), qt.IsTrue, qt.Commentf("%s: status %d, %d events, %v", r.id, r.status, len(r.events), r.err))
+		qt.Check(t, len(f.platform.Runs(r.id)) <= 2, qt.IsTrue)
 	}
-	f.await("the others form a group again", func() bool { return len(f.estate.OpenHeads()) == 3 })
+	f.await("three groups are open", func() bool { return len(f.platform.OpenHeads()) == 3 })
 }
 
 func TestStreamsOutliveAGroupThatStandsStill(t *testing.T) {
 	f := newFleet(t)
-	head := f.estate.OpenHeads()[0]
+	head := f.platform.OpenHeads()[0]
 	head.Stall(true)
 	for range 12 {
 		r := f.stream(f.nodes[0], "key-1")
-		qt.Check(t, r.whole(), qt.IsTrue, qt.Commentf("%+v", r))
+		qt.Check(t, r.isComplete(), qt.IsTrue, qt.Commentf("%+v", r))
 	}
 }
 
 func TestRequestThatMayRunOnceRunsOnceThoughItsAnswerIsLost(t *testing.T) {
 	f := newFleet(t)
-	for _, w := range f.estate.Workers() {
+	for _, w := range f.platform.Workers() {
 		if w.Service == "plain" {
 			w.Lose(1)
 		}
 	}
 	r := f.call(f.nodes[0], "/once/x", "key-1")
 	qt.Check(t, r.status, qt.Equals, http.StatusGatewayTimeout)
-	qt.Check(t, f.estate.Runs(r.id), qt.HasLen, 1)
+	qt.Check(t, f.platform.Runs(r.id), qt.HasLen, 1)
 	r = f.call(f.nodes[0], "/again/x", "key-1")
-	qt.Check(t, r.body, qt.Equals, "whole answer to "+r.id, qt.Commentf("one that may be repeated is asked elsewhere"))
+	qt.Check(t, r.body, qt.Equals, "whole answer to "+r.id, qt.Commentf("an idempotent request is retried at another endpoint"))
 }
 
 func TestRefusalAsNotRunIsTrueAndSaysWhenToComeBack(t *testing.T) {
 	f := newFleet(t)
-	for _, w := range f.estate.Workers() {
+	for _, w := range f.platform.Workers() {
 		w.Shed(true)
 	}
 	for _, path := range []string{"/once/x", "/again/x", "/lm/x"} {
 		r := f.call(f.nodes[0], path, "key-1")
 		qt.Check(t, r.status, qt.Equals, http.StatusServiceUnavailable)
 		qt.Check(t, r.header.Get("Retry-After") != "", qt.IsTrue)
-		qt.Check(t, f.estate.Runs(r.id), qt.HasLen, 0)
+		qt.Check(t, f.platform.Runs(r.id), qt.HasLen, 0)
 	}
 }
 
 func TestConfigurationIsInForceEverywhereAndCredentialsEnd(t *testing.T) {
 	f := newFleet(t)
-	f.estate.Configure(2, 5000, "key-2", "key-3")
+	f.platform.Configure(2, 5000, "key-2", "key-3")
 	for _, n := range f.nodes {
-		f.await("the new credential counts", func() bool { return f.call(n, "/once/x", "key-3").status == http.StatusOK })
-		qt.Check(t, f.call(n, "/once/x", "key-1").status, qt.Equals, http.StatusUnauthorized, qt.Commentf("it never goes back"))
+		f.await("the new credential is accepted", func() bool { return f.call(n, "/once/x", "key-3").status == http.StatusOK })
+		qt.Check(t, f.call(n, "/once/x", "key-1").status, qt.Equals, http.StatusUnauthorized, qt.Commentf("a node must not go back to the earlier configuration"))
 	}
 }
 
 func TestWithoutTheStoreCredentialsCountForAWhileOnly(t *testing.T) {
 	f := newFleet(t)
-	f.estate.Store.SetDown(true)
+	f.platform.Store.SetDown(true)
 	qt.Check(t, f.call(f.nodes[0], "/once/x", "key-1").status, qt.Equals, http.StatusOK)
-	f.await("nothing is let in that could have been revoked", func() bool {
+	f.await("a credential that may have been revoked is refused", func() bool {
 		r := f.call(f.nodes[1], "/once/x", "key-1")
-		return r.status == http.StatusServiceUnavailable && len(f.estate.Runs(r.id)) == 0
+		return r.status == http.StatusServiceUnavailable && len(f.platform.Runs(r.id)) == 0
 	})
-	f.estate.Store.SetDown(false)
-	f.await("it is served again", func() bool { return f.call(f.nodes[1], "/once/x", "key-1").status == http.StatusOK })
+	f.platform.Store.SetDown(false)
+	f.await("the credential is accepted again", func() bool { return f.call(f.nodes[1], "/once/x", "key-1").status == http.StatusOK })
 }
 
 func TestWithoutTheStoreCredentialsGoOnCountingWhereNoProofIsRequired(t *testing.T) {
@@ -112,27 +112,27 @@
 		s.CredentialProofRequired = false
 		s.CredentialProofMS = int(proof.Milliseconds())
 	})
-	f.estate.Store.SetDown(true)
-	f.await("the log tells that the configuration is not proved current", func() bool {
-		return f.nodes[1].logged("configuration is not proved current") > 0
+	f.platform.Store.SetDown(true)
+	f.await("the node logs that the configuration is not proved current", func() bool {
+		return f.nodes[1].countLogged("configuration is not proved current") > 0
 	})
 	time.Sleep(2 * proof)
 	qt.Check(t, f.call(f.nodes[1], "/once/x", "key-1").status, qt.Equals, http.StatusOK)
 	qt.Check(t, f.nodes[1].isReady(), qt.IsTrue)
-	qt.Check(t, f.call(f.nodes[1], "/once/x", "key-new").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("it may have been added by now"))
-	f.estate.Store.SetDown(false)
-	f.estate.Configure(2, 5000, "key-2")
+	qt.Check(t, f.call(f.nodes[1], "/once/x", "key-new").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the credential may have been added in the meantime"))
+	f.platform.Store.SetDown(false)
+	f.platform.Configure(2, 5000, "key-2")
 	f.await("the newer configuration is in force", func() bool { return f.call(f.nodes[1], "/once/x", "key-1").status == http.StatusUnauthorized })
 }
 
-func TestRestartedNodeLearnsFromTheOthersWhileTheStoreIsDown(t *testing.T) {
+func TestRestartedNodeGetsTheConfigurationFromOthersWhileTheStoreIsDown(t *testing.T) {
 	f := newFleet(t)
-	f.estate.Store.SetDown(true)
+	f.platform.Store.SetDown(true)
 	n := f.nodes[2]
 	n.kill()
 	f.start(n)
-	f.await("it knows the configuration", func() bool {
-		return n.logged("configuration in force") == 2
+	f.await("the restarted node has the configuration in force", func() bool {
+		return n.countLogged("configuration in force") == 2
 	})
 }
 
@@ -140,7 +140,7 @@
 	f := newFleet(t)
 	leader := f.leader()
 	leader.kill()
-	f.await("another leads", func() bool {
+	f.await("another node leads", func() bool {
 		for _, n := range f.nodes {
 			if n != leader && n.leads() {
 				return true
@@ -149,16 +149,16 @@
 		return false
 	})
 	f.start(leader)
-	f.estate.OpenHeads()[0].Kill(300 * time.Millisecond)
-	f.await("what is left is whole groups", func() bool { return len(f.estate.OpenHeads()) == 3 })
-	f.await("it serves", func() bool { return f.stream(leader, "key-1").whole() })
+	f.platform.OpenHeads()[0].Kill(300 * time.Millisecond)
+	f.await("three complete groups are open", func() bool { return len(f.platform.OpenHeads()) == 3 })
+	f.await("the restarted node serves", func() bool { return f.stream(leader, "key-1").isComplete() })
 }
 
 func TestPlannedStopCutsOffNothing(t *testing.T) {
 	newFleet(t).stopUnderLoad(func(leaving *node) { leaving.signal(syscall.SIGTERM) })
 }
 
-// Guards against a reload ending a process that is stopping, with all that it still has to finish.
+// Guards against a reload signal killing a process that is stopping, along with the requests that it still has to finish.
 func TestReloadDuringAPlannedStopCutsOffNothing(t *testing.T) {
 	newFleet(t).stopUnderLoad(func(leaving *node) {
 		leaving.signal(syscall.SIGTERM)
@@ -170,7 +170,8 @@
 	})
 }
 
-// stopUnderLoad stops the second node while it serves, and checks that all it serves comes whole.
+// stopUnderLoad stops the second node while it serves requests, and checks that all of them succeed and that the process
+// exits without an error.
 func (f *fleet) stopUnderLoad(stop func(leaving *node)) {
 	leaving := f.nodes[1]
 	var wg sync.WaitGroup
@@ -191,31 +192,31 @@
 		qt.Check(f.t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r))
 	}
 	qt.Check(f.t, leaving.isReady(), qt.IsFalse)
-	qt.Check(f.t, <-leaving.ended, qt.IsNil)
-	leaving.ended <- nil
+	qt.Check(f.t, <-leaving.exited, qt.IsNil)
+	leaving.exited <- nil
 }
 
 func TestLeavingWorkerGetsNothingNew(t *testing.T) {
 	f := newFleet(t)
 	var leaving *estate.Worker
-	for _, w := range f.estate.Workers() {
+	for _, w := range f.platform.Workers() {
 		if w.Service == "plain" {
 			leaving = w
 		}
 	}
 	leaving.Drain()
-	free := 0
-	f.await("twenty calls in a row pass it by", func() bool {
+	inARow := 0
+	f.await("twenty calls in a row go to another worker", func() bool {
 		r := f.call(f.nodes[0], "/once/x", "key-1")
-		free++
-		if f.estate.Runs(r.id)[0].Worker == leaving.ID {
-			free = 0
+		inARow++
+		if f.platform.Runs(r.id)[0].Worker == leaving.ID {
+			inARow = 0
 		}
-		return free == 20
+		return inARow == 20
 	})
 }
 
-func TestMetricsTellWhatBecameOfRequests(t *testing.T) {
+func TestMetricsReportTheOutcomeOfRequests(t *testing.T) {
 	f := newFleet(t)
 	qt.Check(t, f.call(f.nodes[0], "/once/x", "stolen").status, qt.Equals, http.StatusUnauthorized)
 	var text []byte
@@ -224,12 +225,12 @@
 			t.Logf("%s", text)
 		}
 	}()
-	f.await("the metrics show it", func() bool {
+	f.await("the metrics include the refusal, the open groups and the first events", func() bool {
 		r, err := http.Get("http://" + f.nodes[0].settings.MetricsAddress + "/metrics")
 		if err != nil {
 			return false
 		}
-		defer r.Body.Close() //nolint:errcheck // it is read to its end
+		defer r.Body.Close() //nolint:errcheck // the body is read to its end
 		text, _ = io.ReadAll(r.Body)
 		return strings.Contains(string(text), `moorrun_requests_refused{data_centre="z1",reason="no-credential"} 1`) &&
 			strings.Contains(string(text), `moorrun_groups_open{data_centre="z1"} 4`) &&
@@ -241,7 +242,7 @@
 	f := newFleet(t)
 	f.nodes[0].signal(syscall.SIGHUP)
 	f.await("the settings are reloaded", func() bool {
-		content, _ := os.ReadFile(f.nodes[0].log)
+		content, _ := os.ReadFile(f.nodes[0].logFile)
 		return strings.Contains(string(content), "settings reloaded")
 	})
 	qt.Check(t, f.call(f.nodes[0], "/once/x", "key-1").status, qt.Equals, http.StatusOK)
--- a/test/gateway/leaving_test.go
+++ b/test/gateway/leaving_test.go
@@ -7,26 +7,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// leavingKnown is within what a node that has passed on an answer of an endpoint which leaves has to send it nothing more.
-const leavingKnown = 2 * time.Second
+// leavingLatency is the time within which a node has to stop sending requests to an endpoint after passing on an answer in
+// which the endpoint announced that it is leaving.
+const leavingLatency = 2 * time.Second
 
-// Guards against a node sending on to an endpoint whose answers say that it leaves, when the store does not say so.
+// Guards against a node that keeps sending requests to an endpoint which announces in its answers, but not in the store, that
+// it is leaving.
 func TestEndpointWhoseAnswersSayThatItLeavesGetsNothingNew(t *testing.T) {
-	for _, test := range kinds {
+	for _, test := range endpointKinds {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
 			leaving := test.pick(f)
-			before := len(f.estate.Arrivals(leaving.ID))
+			before := len(f.platform.Arrivals(leaving.ID))
 			leaving.Leave()
-			ask := func(*node) *result { return test.ask(f, f.nodes[0]) }
-			f.load(ask, func() bool { return len(f.estate.Arrivals(leaving.ID)) > before })
-			time.Sleep(leavingKnown)
-			known := len(f.estate.Arrivals(leaving.ID))
-			loaded := time.Now()
-			failed := f.load(ask, func() bool { return time.Since(loaded) > leavingKnown })
-			qt.Check(t, len(f.estate.Arrivals(leaving.ID))-known, qt.Equals, 0, qt.Commentf("requests reach an endpoint that leaves"))
-			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests were not answered though others had room"))
+			send := func(*node) *result { return test.send(f, f.nodes[0]) }
+			f.load(send, func() bool { return len(f.platform.Arrivals(leaving.ID)) > before })
+			time.Sleep(leavingLatency)
+			seen := len(f.platform.Arrivals(leaving.ID))
+			start := time.Now()
+			failed := f.load(send, func() bool { return time.Since(start) > leavingLatency })
+			qt.Check(t, len(f.platform.Arrivals(leaving.ID))-seen, qt.Equals, 0, qt.Commentf("requests reach an endpoint that is leaving"))
+			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests failed although other endpoints had capacity"))
 		})
 	}
 }
--- a/test/gateway/limit_test.go
+++ b/test/gateway/limit_test.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// limitWindow is the time in which an endpoint may get no more than its limit allows and a margin for what is on its way.
+	// limitWindow is the length of the window in which arrivals are counted. In any window an endpoint may receive limitFactor
+	// times what its limit allows, plus limitMargin requests that were already in flight.
 	limitWindow = 4 * time.Second
-	limitPart   = 1.5
+	limitFactor = 1.5
 	limitMargin = 5
-	// limitKnown is within what all nodes have to keep to a limit together.
-	limitKnown = 3 * time.Second
+	// limitLatency is the time within which all nodes together have to keep to a new limit.
+	limitLatency = 3 * time.Second
 )
 
-// allowed is how many requests an endpoint of that limit may get in a window.
+// allowed returns the maximum number of requests that an endpoint with the given limit may receive in a window.
 func allowed(perSecond float64) int {
-	return int(limitPart*perSecond*limitWindow.Seconds()) + limitMargin
+	return int(limitFactor*perSecond*limitWindow.Seconds()) + limitMargin
 }
 
-// most returns how many of the arrivals fell into one window at the most, of those windows that end after a time.
-func most(arrivals []time.Time, after time.Time) int {
+// peakArrivals returns the highest number of arrivals in any window that ends after the given time.
+func peakArrivals(arrivals []time.Time, after time.Time) int {
 	n := 0
 	for i, end := range arrivals {
 		if end.Before(after) {
@@ -40,23 +41,23 @@
 }
 
 const (
-	clients     = 9
-	clientPause = 100 * time.Millisecond
+	clients         = 9
+	requestInterval = 100 * time.Millisecond
 )
 
-// load lets clients of all nodes send one request after the other until a condition holds, and returns how many requests were
-// not answered.
-func (f *fleet) load(ask func(n *node) *result, until func() bool) int64 {
+// load runs clients that each send one request after another to one of the nodes until a condition holds, and returns the
+// number of requests that failed.
+func (f *fleet) load(send func(n *node) *result, done func() bool) int64 {
 	var wg sync.WaitGroup
 	var failed atomic.Int64
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for i := range clients {
 		wg.Go(func() {
-			for !until() && time.Now().Before(end) {
-				if r := ask(f.nodes[i%len(f.nodes)]); r.err != nil || r.status >= 300 {
+			for !done() && time.Now().Before(end) {
+				if r := send(f.nodes[i%len(f.nodes)]); r.err != nil || r.status >= 300 {
 					failed.Add(1)
 				}
-				time.Sleep(clientPause)
+				time.Sleep(requestInterval)
 			}
 		})
 	}
@@ -64,27 +65,27 @@
 	return failed.Load()
 }
 
-// Guards against an endpoint that names a rate limit getting more than that from all nodes together.
+// Guards against all nodes together sending an endpoint more requests than the rate limit that it sets.
 func TestEndpointThatNamesALimitGetsNoMoreFromAllNodesTogether(t *testing.T) {
-	for _, test := range kinds {
+	for _, test := range endpointKinds {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
 			limited := test.pick(f)
-			ask := func(n *node) *result { return test.ask(f, n) }
+			send := func(n *node) *result { return test.send(f, n) }
 			limited.Limit("2.0")
-			known := time.Now().Add(limitKnown)
-			failed := f.load(ask, func() bool { return time.Since(known) > 2*limitWindow })
-			arrivals := f.estate.Arrivals(limited.ID)
-			got := most(arrivals, known)
+			inForce := time.Now().Add(limitLatency)
+			failed := f.load(send, func() bool { return time.Since(inForce) > 2*limitWindow })
+			arrivals := f.platform.Arrivals(limited.ID)
+			got := peakArrivals(arrivals, inForce)
 			qt.Check(t, got <= allowed(2), qt.IsTrue, qt.Commentf("%d arrivals in a window, allowed %d", got, allowed(2)))
-			qt.Check(t, arrivals[len(arrivals)-1].After(known), qt.IsTrue, qt.Commentf("it gets nothing any more"))
-			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests were not answered though others had room"))
+			qt.Check(t, arrivals[len(arrivals)-1].After(inForce), qt.IsTrue, qt.Commentf("the limited endpoint receives no requests any more"))
+			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests failed although other endpoints had capacity"))
 			limited.Limit("")
 			lifted := time.Now()
-			usual := func() bool { return most(f.estate.Arrivals(limited.ID), lifted) > allowed(2) }
-			f.load(ask, usual)
-			qt.Check(t, usual(), qt.IsTrue, qt.Commentf("it does not get its usual share again"))
+			restored := func() bool { return peakArrivals(f.platform.Arrivals(limited.ID), lifted) > allowed(2) }
+			f.load(send, restored)
+			qt.Check(t, restored(), qt.IsTrue, qt.Commentf("the endpoint does not regain its usual share"))
 		})
 	}
 }
--- a/test/gateway/pause_test.go
+++ b/test/gateway/pause_test.go
@@ -10,81 +10,83 @@
 )
 
 const (
-	// pause is what an endpoint that refuses asks a node for.
+	// pause is the Retry-After that a refusing endpoint returns to a node.
 	pause = 3 * time.Second
-	// pauseKnown is within what the node has to keep it, and pauseMargin how many requests may still reach the endpoint then.
-	pauseKnown  = 500 * time.Millisecond
-	pauseMargin = 2
+	// pauseLatency is the time within which the node has to observe the pause, and pauseMargin the number of requests that may
+	// still reach the endpoint after that.
+	pauseLatency = 500 * time.Millisecond
+	pauseMargin  = 2
 )
 
-// within returns how many of the arrivals at most came within the pause that an earlier one was answered with.
-func within(arrivals []time.Time) int {
-	most := 0
-	for i, asked := range arrivals {
+// maxWithinPause returns the highest number of arrivals during the pause that an earlier arrival was answered with.
+func maxWithinPause(arrivals []time.Time) int {
+	highest := 0
+	for i, pausedAt := range arrivals {
 		n := 0
 		for _, at := range arrivals[i+1:] {
-			if since := at.Sub(asked); since > pauseKnown && since < pause {
+			if since := at.Sub(pausedAt); since > pauseLatency && since < pause {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// Guards against a node sending on to an endpoint that refuses with Retry-After, which then spends the budget of repeats.
+// Guards against a node that keeps sending requests to an endpoint which refuses them with Retry-After, and so uses up the
+// retry budget.
 func TestEndpointThatAsksForAPauseGetsNothingMeanwhile(t *testing.T) {
-	for _, test := range kinds {
+	for _, test := range endpointKinds {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
 			refusing := test.pick(f)
-			before := len(f.estate.Arrivals(refusing.ID))
+			before := len(f.platform.Arrivals(refusing.ID))
 			refusing.Pause(strconv.Itoa(int(pause.Seconds())))
-			ask := func(*node) *result { return test.ask(f, f.nodes[0]) } // a pause concerns the node that was asked
-			asked := time.Now()
-			failed := f.load(ask, func() bool { return time.Since(asked) > 3*pause })
-			arrivals := f.estate.Arrivals(refusing.ID)[before:]
-			qt.Check(t, within(arrivals) <= pauseMargin, qt.IsTrue, qt.Commentf("%d arrivals within a pause, allowed %d", within(arrivals), pauseMargin))
-			qt.Check(t, len(arrivals) >= 2, qt.IsTrue, qt.Commentf("it is not tried again"))
-			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests were not answered though others had room"))
+			send := func(*node) *result { return test.send(f, f.nodes[0]) } // a pause applies only to the node that received it
+			start := time.Now()
+			failed := f.load(send, func() bool { return time.Since(start) > 3*pause })
+			arrivals := f.platform.Arrivals(refusing.ID)[before:]
+			qt.Check(t, maxWithinPause(arrivals) <= pauseMargin, qt.IsTrue, qt.Commentf("%d arrivals within a pause, allowed %d", maxWithinPause(arrivals), pauseMargin))
+			qt.Check(t, len(arrivals) >= 2, qt.IsTrue, qt.Commentf("the endpoint is not tried again after a pause"))
+			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests failed although other endpoints had capacity"))
 			refusing.Shed(false)
-			again := len(f.estate.Arrivals(refusing.ID))
-			usual := func() bool { return len(f.estate.Arrivals(refusing.ID)) > again+20 }
-			f.load(ask, usual)
-			qt.Check(t, usual(), qt.IsTrue, qt.Commentf("it does not get its usual share again"))
+			resumed := len(f.platform.Arrivals(refusing.ID))
+			restored := func() bool { return len(f.platform.Arrivals(refusing.ID)) > resumed+20 }
+			f.load(send, restored)
+			qt.Check(t, restored(), qt.IsTrue, qt.Commentf("the endpoint does not regain its usual share"))
 		})
 	}
 }
 
-// Guards against requests waiting for endpoints that all pause, and against callers being told to come back
-// before that.
+// Guards against requests that wait although all endpoints pause, and against a Retry-After to callers that is shorter than
+// the pause.
 func TestRequestIsRefusedAtOnceWhileAllEndpointsPause(t *testing.T) {
 	f := newFleet(t)
-	for _, w := range f.estate.Workers() {
+	for _, w := range f.platform.Workers() {
 		w.Pause("60")
 	}
 	for _, path := range []string{"/once/x", "/lm/x"} {
-		f.await("no endpoint is asked any more", func() bool {
-			before := f.arrivals()
+		f.await("no endpoint receives the request", func() bool {
+			before := f.totalArrivals()
 			f.call(f.nodes[0], path, "key-1")
-			return f.arrivals() == before
+			return f.totalArrivals() == before
 		})
-		before := f.arrivals()
+		before := f.totalArrivals()
 		r := f.call(f.nodes[0], path, "key-1")
 		qt.Check(t, r.status, qt.Equals, http.StatusServiceUnavailable)
 		seconds, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 		qt.Check(t, err, qt.IsNil)
-		qt.Check(t, seconds > 30, qt.IsTrue, qt.Commentf("come back after %v s", seconds))
-		qt.Check(t, f.arrivals(), qt.Equals, before)
+		qt.Check(t, seconds > 30, qt.IsTrue, qt.Commentf("Retry-After is %v s", seconds))
+		qt.Check(t, f.totalArrivals(), qt.Equals, before)
 	}
 }
 
-// arrivals returns how many requests have reached workers.
-func (f *fleet) arrivals() int {
+// totalArrivals returns the number of requests that have reached any worker.
+func (f *fleet) totalArrivals() int {
 	n := 0
-	for _, w := range f.estate.Workers() {
-		n += len(f.estate.Arrivals(w.ID))
+	for _, w := range f.platform.Workers() {
+		n += len(f.platform.Arrivals(w.ID))
 	}
 	return n
 }
--- a/test/gateway/refusing_test.go
+++ b/test/gateway/refusing_test.go
@@ -7,28 +7,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a replica group that refuses all requests being taken for the least loaded one, which then spends the budget
-// of repeats.
+// Guards against a replica group that refuses all requests being treated as the least loaded one, which uses up the retry
+// budget.
 func TestGroupThatRefusesAllGetsLessThanItsShare(t *testing.T) {
-	const lasts = 6 * time.Second
+	const duration = 6 * time.Second
 	f := newFleet(t)
-	heads := f.estate.OpenHeads()
+	heads := f.platform.OpenHeads()
 	before := make([]int, len(heads))
 	heads[0].Shed(true)
 	for i, head := range heads {
-		before[i] = len(f.estate.Arrivals(head.ID))
+		before[i] = len(f.platform.Arrivals(head.ID))
 	}
-	begun := time.Now()
-	failed := f.load(func(*node) *result { return f.stream(f.nodes[0], "key-1") }, func() bool { return time.Since(begun) > lasts })
-	refused, served := len(f.estate.Arrivals(heads[0].ID))-before[0], 0
+	start := time.Now()
+	failed := f.load(func(*node) *result { return f.stream(f.nodes[0], "key-1") }, func() bool { return time.Since(start) > duration })
+	refused, served := len(f.platform.Arrivals(heads[0].ID))-before[0], 0
 	for i, head := range heads[1:] {
-		served += len(f.estate.Arrivals(head.ID)) - before[i+1]
+		served += len(f.platform.Arrivals(head.ID)) - before[i+1]
 	}
 	qt.Check(t, refused < served/len(heads[1:]), qt.IsTrue, qt.Commentf("%d refused, %d served by %d others", refused, served, len(heads)-1))
-	qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests were not answered though others had room"))
+	qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests failed although other endpoints had capacity"))
 	heads[0].Shed(false)
-	again := len(f.estate.Arrivals(heads[0].ID))
-	usual := func() bool { return len(f.estate.Arrivals(heads[0].ID)) > again+20 }
-	f.load(func(*node) *result { return f.stream(f.nodes[0], "key-1") }, usual)
-	qt.Check(t, usual(), qt.IsTrue, qt.Commentf("it does not get its usual share again"))
+	resumed := len(f.platform.Arrivals(heads[0].ID))
+	restored := func() bool { return len(f.platform.Arrivals(heads[0].ID)) > resumed+20 }
+	f.load(func(*node) *result { return f.stream(f.nodes[0], "key-1") }, restored)
+	qt.Check(t, restored(), qt.IsTrue, qt.Commentf("the endpoint does not regain its usual share"))
 }
