--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -1,5 +1,5 @@
-// Package fleet runs many nodes of moorrund's gateway, without callers, over a stand-in network and before a stand-in
-// store in virtual time, and counts what they ask the store and send each other.
+// Package fleet runs many nodes of moorrund's gateway in virtual time, without callers, over a stand-in network and
+// against a stand-in store, and counts their store calls and the traffic between them.
 package fleet
 
 import (
@@ -21,147 +21,149 @@
 )
 
 const (
-	// startSpread is within what all nodes start.
+	// startSpread is the period over which the starts of all nodes are spread.
 	startSpread = 300 * time.Millisecond
-	// largeADataCentre is how many nodes of a data centre have a large VM.
-	largeADataCentre = 10
-	largeVM, smallVM = 0.8, 0.192
-	// beat is how often endpoints write their entries.
-	beat = 5 * time.Second
-	// enginesANode is how many engine endpoints there are for each node.
-	enginesANode = 3
+	// largeVMsPerDataCentre is the number of nodes of a data centre that run on a large VM.
+	largeVMsPerDataCentre        = 10
+	largeCapacity, smallCapacity = 0.8, 0.192 // in cores
+	// entryInterval is the interval at which endpoints write their entries.
+	entryInterval = 5 * time.Second
+	// enginesPerNode is the number of engine endpoints per node.
+	enginesPerNode = 3
 )
 
-func zoneOf(i int) string { return fmt.Sprintf("data-centre-%d", i) }
+func dataCentreName(i int) string { return fmt.Sprintf("data-centre-%d", i) }
 
-// life is one process of a node.
-type life struct {
-	server atomic.Pointer[server.Server] // nil until it has started
-	port   *network.Port
-	cut    *bool // from the store
-	end    context.CancelFunc
+// process is one process of a node.
+type process struct {
+	server   atomic.Pointer[server.Server] // nil until the server has been created
+	port     *network.Port
+	storeCut *bool // cut off from the store; guarded by store.mu
+	cancel   context.CancelFunc
 }
 
-// fleet is the nodes and what surrounds them.
+// fleet is the nodes together with their network, store and endpoints.
 type fleet struct {
-	store   *store
-	estate  *estate
-	network *network.Network
-	lives   []*life
-	running errgroup.Group
-	logger  log.Logger
+	store     *store
+	endpoints *endpointSim
+	network   *network.Network
+	processes []*process
+	tasks     errgroup.Group
+	logger    log.Logger
 }
 
-// newFleet starts that many nodes before an estate of endpoints and a configuration.
+// newFleet starts the given number of nodes with a configuration and simulated endpoints.
 func newFleet(nodes int) *fleet {
 	s := newStore()
-	f := &fleet{store: s, estate: newEstate(s), network: network.New(), lives: make([]*life, nodes), logger: log.NewNopLogger()}
-	f.estate.start(nodes*enginesANode, beat)
+	f := &fleet{store: s, endpoints: newEndpointSim(s), network: network.New(), processes: make([]*process, nodes), logger: log.NewNopLogger()}
+	f.endpoints.start(nodes*enginesPerNode, entryInterval)
 	s.write("accepted/main", configuration())
 	f.startAll(true)
 	return f
 }
 
-// startAll starts a process of each node, all within startSpread; first says that no node is known to the store.
-func (f *fleet) startAll(first bool) {
-	for i := range f.lives {
-		l := f.prepare(i)
-		f.lives[i] = l
+// startAll starts a process of each node, all within startSpread. firstStart means that no node is registered in the store.
+func (f *fleet) startAll(firstStart bool) {
+	for i := range f.processes {
+		proc := f.newProcess(i)
+		f.processes[i] = proc
 		ctx, cancel := context.WithCancel(context.Background())
-		l.end = cancel
-		f.running.Go(func() error {
+		proc.cancel = cancel
+		f.tasks.Go(func() error {
 			time.Sleep(time.Duration(i*7919%1000) * startSpread / 1000)
-			n := f.newServer(i, l, first)
-			l.server.Store(n)
-			return n.Run(ctx) // which ends at once if the node was killed meanwhile
+			n := f.newServer(i, proc, firstStart)
+			proc.server.Store(n)
+			return n.Run(ctx) // returns at once if the process has been killed in the meantime
 		})
 	}
 	time.Sleep(startSpread)
 }
 
-func (f *fleet) prepare(i int) *life { return &life{port: f.network.Open(i), cut: new(bool)} }
+func (f *fleet) newProcess(i int) *process {
+	return &process{port: f.network.Open(i), storeCut: new(bool)}
+}
 
-func (f *fleet) newServer(i int, l *life, first bool) *server.Server {
+func (f *fleet) newServer(i int, proc *process, firstStart bool) *server.Server {
 	s := &settings.Gateway{
-		VM: fmt.Sprintf("entry-%03d", i), DataCentre: zoneOf(l.port.Zone()), Region: "r", CallerAddress: l.port.Address(), PeerAddress: l.port.Address(),
-		Capacity: smallVM, CredentialProofMS: 5000, CredentialProofRequired: true, Evacuations: true, GraceMS: 1000, AddressLifetimeMS: 1000,
-		RepeatRatio: 0.2, RepeatSlack: 1000, RepeatWindowMS: 10000, LeaseTTLMS: 1500, FirstStart: first, EndpointBeatMS: int(beat / time.Millisecond), SampleOneIn: 20, FailureLinesSecond: 20,
+		VM: fmt.Sprintf("entry-%03d", i), DataCentre: dataCentreName(proc.port.Zone()), Region: "r", CallerAddress: proc.port.Address(), PeerAddress: proc.port.Address(),
+		Capacity: smallCapacity, CredentialProofMS: 5000, CredentialProofRequired: true, Evacuations: true, GraceMS: 1000, AddressLifetimeMS: 1000,
+		RepeatRatio: 0.2, RepeatSlack: 1000, RepeatWindowMS: 10000, LeaseTTLMS: 1500, FirstStart: firstStart, EndpointBeatMS: int(entryInterval / time.Millisecond), SampleOneIn: 20, FailureLinesSecond: 20,
 	}
-	if i < largeADataCentre*network.DataCentres {
-		s.Capacity = largeVM
+	if i < largeVMsPerDataCentre*network.DataCentres {
+		s.Capacity = largeCapacity
 	}
 	newPlatform := func(s *settings.Gateway, calls *httpcall.Client) *server.Platform {
 		p := platform.New(s, calls)
-		h := handle{f.store, l.cut}
-		p.Objects, p.Recent, p.Engine = h, h.recent, f.estate
+		client := storeClient{f.store, proc.storeCut}
+		p.Objects, p.Recent, p.Engine = client, client.listRecent, f.endpoints
 		return p
 	}
-	t := server.Transport{Datagrams: l.port, Calls: l.port.Listener(), Dial: l.port.Dial}
+	t := server.Transport{Datagrams: proc.port, Calls: proc.port.Listener(), Dial: proc.port.Dial}
 	return server.NewWithTransport(t, s, newPlatform, log.With(f.logger, "vm", s.VM))
 }
 
-// killAll ends all processes without a word: nothing that they still say arrives.
+// killAll kills all processes without a shutdown: nothing that they still send arrives.
 func (f *fleet) killAll() {
-	for _, l := range f.lives {
-		f.network.Cut(true, l.port)
-		f.cutFromStore(true, l)
-		l.end()
+	for _, proc := range f.processes {
+		f.network.Cut(true, proc.port)
+		f.cutFromStore(true, proc)
+		proc.cancel()
 	}
 }
 
-// cutFromStore keeps nodes from the store, or lets them reach it again.
-func (f *fleet) cutFromStore(cut bool, lives ...*life) {
+// cutFromStore cuts processes off from the store, or reconnects them if cut is false.
+func (f *fleet) cutFromStore(cut bool, processes ...*process) {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	for _, l := range lives {
-		*l.cut = cut
+	for _, proc := range processes {
+		*proc.storeCut = cut
 	}
 }
 
-// end stops all nodes.
-func (f *fleet) end() {
-	for _, l := range f.lives {
-		l.end()
+// stop shuts all nodes down and waits for them.
+func (f *fleet) stop() {
+	for _, proc := range f.processes {
+		proc.cancel()
 	}
-	_ = f.running.Wait()
+	_ = f.tasks.Wait()
 }
 
-// count returns for how many nodes that have started the condition holds.
-func (f *fleet) count(holds func(n *server.Server) bool) int {
+// count returns the number of started nodes for which the condition holds.
+func (f *fleet) count(condition func(n *server.Server) bool) int {
 	count := 0
-	for _, l := range f.lives {
-		if n := l.server.Load(); n != nil && holds(n) {
+	for _, proc := range f.processes {
+		if n := proc.server.Load(); n != nil && condition(n) {
 			count++
 		}
 	}
 	return count
 }
 
-// configured returns how many nodes know the configuration.
-func (f *fleet) configured() int {
+// countConfigured returns the number of nodes that have a configuration in force.
+func (f *fleet) countConfigured() int {
 	return f.count(func(n *server.Server) bool { return n.Table() != nil })
 }
 
-// routing returns how many nodes list all open groups.
-func (f *fleet) routing() int {
-	groups, _, _ := f.estate.open()
-	return f.count(func(n *server.Server) bool { return openGroups(n.Endpoints()) >= groups })
+// countRouting returns the number of nodes that list all open groups.
+func (f *fleet) countRouting() int {
+	groups, _, _ := f.endpoints.stats()
+	return f.count(func(n *server.Server) bool { return countOpenGroups(n.Endpoints()) >= groups })
 }
 
-// ready returns how many nodes take callers: they know a configuration that was proved current lately.
-func (f *fleet) ready() int { return f.count((*server.Server).Ready) }
+// countReady returns the number of nodes that accept callers: those whose configuration was recently proved current.
+func (f *fleet) countReady() int { return f.count((*server.Server).Ready) }
 
-// leader returns the number of the node that leads, or -1.
-func (f *fleet) leader() int {
-	for i, l := range f.lives {
-		if n := l.server.Load(); n != nil && n.Leads() {
+// leaderIndex returns the index of the leader, or -1 if no node leads.
+func (f *fleet) leaderIndex() int {
+	for i, proc := range f.processes {
+		if n := proc.server.Load(); n != nil && n.Leads() {
 			return i
 		}
 	}
 	return -1
 }
 
-func openGroups(s *endpoint.Snapshot) int {
+func countOpenGroups(s *endpoint.Snapshot) int {
 	n := 0
 	for _, g := range s.Groups {
 		if g.Head != nil && g.Head.Membership.State == endpoint.Open {
@@ -171,34 +173,35 @@
 	return n
 }
 
-// await waits until the condition holds, for some time at most, and returns how long that took and whether it came to it.
-func await(most time.Duration, holds func() bool) (time.Duration, bool) {
-	began := time.Now()
-	for !holds() {
-		if time.Since(began) > most {
-			return most, false
+// await polls until the condition holds or the timeout expires. It returns the time waited and whether the condition holds.
+func await(timeout time.Duration, condition func() bool) (time.Duration, bool) {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > timeout {
+			return timeout, false
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return time.Since(began), true
+	return time.Since(start), true
 }
 
-// traffic is what all nodes have sent, and what the busiest has.
-func (f *fleet) traffic() (all, busiest network.Traffic) {
-	for _, l := range f.lives {
-		sent := f.network.Sent(l.port)
-		all.Datagrams += sent.Datagrams
-		all.Bytes += sent.Bytes
-		all.FarBytes += sent.FarBytes
-		all.Beats += sent.Beats
+// traffic returns the traffic sent by all nodes together and by the node that has sent the most bytes.
+func (f *fleet) traffic() (total, busiest network.Traffic) {
+	for _, proc := range f.processes {
+		sent := f.network.Sent(proc.port)
+		total.Datagrams += sent.Datagrams
+		total.Bytes += sent.Bytes
+		total.FarBytes += sent.FarBytes
+		total.Beats += sent.Beats
 		if sent.Bytes > busiest.Bytes {
 			busiest = sent
 		}
 	}
-	return all, busiest
+	return total, busiest
 }
 
-// configuration is one of a service of engines with two models, a plain one, and some hundred routes and workspaces.
+// configuration returns a configuration with a service of engines for two models, a plain service, and several hundred
+// routes and workspaces.
 func configuration() map[string]any {
 	var routes, workspaces []map[string]any
 	for i := range 250 {
--- a/test/fleet/store_test.go
+++ b/test/fleet/store_test.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// storeAnswers is how long the store takes for a call.
-	storeAnswers = 4 * time.Millisecond
-	// pageObjects is how many objects the store gives in one call.
-	pageObjects = 500
-	// recentLag is how old the cheap lists are.
+	// storeLatency is the duration of a store call.
+	storeLatency = 4 * time.Millisecond
+	// pageSize is the number of objects that the store returns in one call.
+	pageSize = 500
+	// recentLag is how late new objects appear in the lists that listRecent returns.
 	recentLag = 800 * time.Millisecond
-	// historyFor is how long the store remembers changes for watches.
-	historyFor = 20 * time.Second
-	// recentPrice is what a cheap list costs, in calls.
+	// historyTTL is how long the store keeps changes for watches.
+	historyTTL = 20 * time.Second
+	// recentPrice is the price of one listRecent call, in regular calls.
 	recentPrice = 0.1
-	// refusedFor is how long the store takes to refuse a call.
-	refusedFor = 5 * time.Millisecond
+	// refusalLatency is the duration of a store call that is refused.
+	refusalLatency = 5 * time.Millisecond
 )
 
 var (
@@ -31,33 +31,33 @@
 	errCut     = errors.New("connection cut")
 )
 
-// change is one step of the store's history.
+// change is one change in the store's history.
 type change struct {
 	object infra.Object
 	at     time.Time
 }
 
-// store is the platform's store, and counts the calls of all nodes.
+// store simulates the platform's store and counts the calls of all nodes.
 type store struct {
-	mu       sync.Mutex
-	revision int64
-	objects  map[string]infra.Object
-	written  map[string]time.Time // first, by key
-	history  []change
-	dropped  int64 // revision up to which the history is forgotten
-	changed  chan struct{}
-	calls    map[string]float64 // by what was asked, priced
-	down     bool
-	broken   chan struct{} // closed when the watches that wait are cut
+	mu              sync.Mutex
+	revision        int64
+	objects         map[string]infra.Object
+	firstWritten    map[string]time.Time // time of the first write, by key
+	history         []change
+	droppedRevision int64 // revision up to which the history has been dropped
+	changed         chan struct{}
+	calls           map[string]float64 // in units of a regular call, by operation and kind of object
+	down            bool
+	watchesCut      chan struct{} // closed when the waiting watches are cut
 }
 
 func newStore() *store {
 	return &store{
-		objects: make(map[string]infra.Object), written: make(map[string]time.Time), changed: make(chan struct{}), calls: make(map[string]float64), broken: make(chan struct{}),
+		objects: make(map[string]infra.Object), firstWritten: make(map[string]time.Time), changed: make(chan struct{}), calls: make(map[string]float64), watchesCut: make(chan struct{}),
 	}
 }
 
-// write sets or, with a nil value, removes an object.
+// write sets an object, or removes it if value is nil.
 func (s *store) write(key string, value any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,13 +73,13 @@
 	} else {
 		o.Value, _ = json.Marshal(value)
 		s.objects[key] = o
-		if s.written[key].IsZero() {
-			s.written[key] = time.Now()
+		if s.firstWritten[key].IsZero() {
+			s.firstWritten[key] = time.Now()
 		}
 	}
 	s.history = append(s.history, change{o, time.Now()})
-	for len(s.history) > 0 && time.Since(s.history[0].at) > historyFor {
-		s.dropped = s.history[0].object.Version
+	for len(s.history) > 0 && time.Since(s.history[0].at) > historyTTL {
+		s.droppedRevision = s.history[0].object.Version
 		s.history = s.history[1:]
 	}
 	close(s.changed)
@@ -87,23 +87,23 @@
 	return s.revision
 }
 
-// forget drops the history.
-func (s *store) forget() {
+// dropHistory makes every watch from an earlier revision fail with infra.ErrHistoryGone.
+func (s *store) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.dropped = nil, s.revision
+	s.history, s.droppedRevision = nil, s.revision
 }
 
-// cutWatches cuts the watches that wait.
+// cutWatches ends all waiting watches with an error.
 func (s *store) cutWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.broken)
-	s.broken = make(chan struct{})
+	close(s.watchesCut)
+	s.watchesCut = make(chan struct{})
 }
 
-// counted returns the calls since the last time, by what was asked, and their sum.
-func (s *store) counted() (byKind map[string]float64, sum float64) {
+// takeCalls returns the calls since it was last called, by operation and kind of object, and their sum.
+func (s *store) takeCalls() (byKind map[string]float64, sum float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byKind = s.calls
@@ -114,27 +114,27 @@
 	return byKind, sum
 }
 
-// handle is the store as one node reaches it.
-type handle struct {
+// storeClient is one node's access to the store.
+type storeClient struct {
 	*store
-	cut *bool // this node does not reach it; guarded by the store's lock
+	cut *bool // this node is cut off from the store; guarded by store.mu
 }
 
-// enter counts a call and waits for the answer's time.
-func (h handle) enter(ctx context.Context, what, key string, price float64) error {
-	h.mu.Lock()
-	cut := h.down || *h.cut
+// call counts a call and waits for its duration. It fails if the store is down or the node is cut off from it.
+func (c storeClient) call(ctx context.Context, operation, key string, price float64) error {
+	c.mu.Lock()
+	cut := c.down || *c.cut
 	kind, _, _ := strings.Cut(strings.TrimPrefix(key, "moorrun/"), "/")
-	h.calls[what+" "+kind] += price
-	h.mu.Unlock()
-	wait := storeAnswers
+	c.calls[operation+" "+kind] += price
+	c.mu.Unlock()
+	latency := storeLatency
 	if cut {
-		wait = refusedFor
+		latency = refusalLatency
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(wait):
+	case <-time.After(latency):
 	}
 	if cut {
 		return errors.Join(infra.ErrUnavailable, errRefused)
@@ -143,13 +143,13 @@
 }
 
 // Get implements infra.ObjectStore.
-func (h handle) Get(ctx context.Context, key string) (infra.Object, error) {
-	if err := h.enter(ctx, "get", key, 1); err != nil {
+func (c storeClient) Get(ctx context.Context, key string) (infra.Object, error) {
+	if err := c.call(ctx, "get", key, 1); err != nil {
 		return infra.Object{}, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	o, ok := h.objects[key]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	o, ok := c.objects[key]
 	if !ok {
 		return infra.Object{}, infra.ErrNotFound
 	}
@@ -157,35 +157,36 @@
 }
 
 // List implements infra.ObjectStore.
-func (h handle) List(ctx context.Context, prefix string) (infra.Listing, error) {
-	return h.list(ctx, prefix, "list", 1, 0)
+func (c storeClient) List(ctx context.Context, prefix string) (infra.Listing, error) {
+	return c.list(ctx, prefix, "list", 1, 0)
 }
 
-// recent is the cheap list.
-func (h handle) recent(ctx context.Context, prefix string) (infra.Listing, error) {
-	return h.list(ctx, prefix, "recent", recentPrice, recentLag)
+// listRecent implements server.Platform.Recent: it is cheaper than List, but its result lacks the objects that were first
+// written less than recentLag ago.
+func (c storeClient) listRecent(ctx context.Context, prefix string) (infra.Listing, error) {
+	return c.list(ctx, prefix, "recent", recentPrice, recentLag)
 }
 
-func (h handle) list(ctx context.Context, prefix, what string, price float64, lag time.Duration) (infra.Listing, error) {
-	if err := h.enter(ctx, what, prefix, price); err != nil {
+func (c storeClient) list(ctx context.Context, prefix, operation string, price float64, lag time.Duration) (infra.Listing, error) {
+	if err := c.call(ctx, operation, prefix, price); err != nil {
 		return infra.Listing{}, err
 	}
-	out := h.below(prefix, lag)
-	for range len(out.Objects) / pageObjects { // the further pages
-		if err := h.enter(ctx, what, prefix, price); err != nil {
+	out := c.snapshot(prefix, lag)
+	for range len(out.Objects) / pageSize { // one call for each further page
+		if err := c.call(ctx, operation, prefix, price); err != nil {
 			return out, err
 		}
 	}
 	return out, nil
 }
 
-// below returns the objects below prefix that were first written long enough ago.
-func (h handle) below(prefix string, lag time.Duration) infra.Listing {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := infra.Listing{Version: h.revision}
-	for key, o := range h.objects {
-		if strings.HasPrefix(key, prefix) && time.Since(h.written[key]) >= lag {
+// snapshot returns the objects below prefix that were first written at least lag ago.
+func (c storeClient) snapshot(prefix string, lag time.Duration) infra.Listing {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := infra.Listing{Version: c.revision}
+	for key, o := range c.objects {
+		if strings.HasPrefix(key, prefix) && time.Since(c.firstWritten[key]) >= lag {
 			out.Objects = append(out.Objects, o)
 		}
 	}
@@ -193,69 +194,69 @@
 }
 
 // Put implements infra.ObjectStore.
-func (h handle) Put(ctx context.Context, key string, value any, ifVersion int64) (infra.Outcome, int64, error) {
-	if err := h.enter(ctx, "put", key, 1); err != nil {
+func (c storeClient) Put(ctx context.Context, key string, value any, ifVersion int64) (infra.Outcome, int64, error) {
+	if err := c.call(ctx, "put", key, 1); err != nil {
 		return infra.Unknown, 0, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.objects[key].Version != ifVersion {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.objects[key].Version != ifVersion {
 		return infra.NotApplied, 0, nil
 	}
-	return infra.Applied, h.writeLocked(key, value), nil
+	return infra.Applied, c.writeLocked(key, value), nil
 }
 
 // Delete implements infra.ObjectStore.
-func (h handle) Delete(ctx context.Context, key string, ifVersion int64) (infra.Outcome, error) {
-	if err := h.enter(ctx, "delete", key, 1); err != nil {
+func (c storeClient) Delete(ctx context.Context, key string, ifVersion int64) (infra.Outcome, error) {
+	if err := c.call(ctx, "delete", key, 1); err != nil {
 		return infra.Unknown, err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.objects[key].Version != ifVersion {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.objects[key].Version != ifVersion {
 		return infra.NotApplied, nil
 	}
-	h.writeLocked(key, nil)
+	c.writeLocked(key, nil)
 	return infra.Applied, nil
 }
 
 // Watch implements infra.ObjectStore.
-func (h handle) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (infra.Listing, error) {
-	if err := h.enter(ctx, "watch", prefix, 1); err != nil {
+func (c storeClient) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (infra.Listing, error) {
+	if err := c.call(ctx, "watch", prefix, 1); err != nil {
 		return infra.Listing{}, err
 	}
-	within, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	h.mu.Lock()
-	broken := h.broken
-	h.mu.Unlock()
+	c.mu.Lock()
+	watchesCut := c.watchesCut
+	c.mu.Unlock()
 	for {
-		l, changed, err := h.since(prefix, after)
+		l, changed, err := c.changesSince(prefix, after)
 		if err != nil || len(l.Objects) > 0 {
 			return l, err
 		}
 		select {
-		case <-within.Done():
+		case <-waitCtx.Done():
 			return l, ctx.Err()
-		case <-broken:
+		case <-watchesCut:
 			return infra.Listing{}, errors.Join(infra.ErrUnavailable, errCut)
 		case <-changed:
 		}
 	}
 }
 
-// since returns the changes below prefix after that revision, and what is closed at the next change.
-func (h handle) since(prefix string, after int64) (infra.Listing, chan struct{}, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if after < h.dropped {
+// changesSince returns the changes below prefix after that revision, and a channel that is closed at the next change.
+func (c storeClient) changesSince(prefix string, after int64) (infra.Listing, chan struct{}, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if after < c.droppedRevision {
 		return infra.Listing{}, nil, infra.ErrHistoryGone
 	}
-	out := infra.Listing{Version: h.revision}
-	for i := len(h.history) - 1; i >= 0 && h.history[i].object.Version > after; i-- {
-		if strings.HasPrefix(h.history[i].object.Key, prefix) {
-			out.Objects = append(out.Objects, h.history[i].object)
+	out := infra.Listing{Version: c.revision}
+	for i := len(c.history) - 1; i >= 0 && c.history[i].object.Version > after; i-- {
+		if strings.HasPrefix(c.history[i].object.Key, prefix) {
+			out.Objects = append(out.Objects, c.history[i].object)
 		}
 	}
-	return out, h.changed, nil
+	return out, c.changed, nil
 }
