--- a/test/integration/apply_test.go
+++ b/test/integration/apply_test.go
@@ -13,8 +13,8 @@
 	"moorrun.dev/moorrun/internal/lab"
 )
 
-// edit writes a changed copy of one file and returns its path.
-func (f *fleet) edit(file, from, to string) string {
+// editedCopy writes a copy of a configuration file with the first from replaced by to, and returns its path.
+func (f *fleet) editedCopy(file, from, to string) string {
 	content, err := os.ReadFile(filepath.Join(f.Files, file))
 	f.Assert(err, qt.IsNil)
 	f.Assert(string(content), qt.Contains, from)
@@ -25,32 +25,32 @@
 	return path
 }
 
-var revisionText = regexp.MustCompile(`accepted as revision (\d+)`)
+var acceptedPattern = regexp.MustCompile(`accepted as revision (\d+)`)
 
-func TestLostAnswerToApplyIsFound(t *testing.T) {
+func TestApplyReportsItsRevisionThoughTheStoreAnswerIsLost(t *testing.T) {
 	f := newFleet(t)
 	f.Objects.LoseKey.Store("moorrun/state/head")
 	f.Objects.LoseAnswer.Store(1)
-	out := f.CLI("apply", f.edit("workspace-pledges.json", `"min": 1`, `"min": 0`))
+	out := f.CLI("apply", f.editedCopy("workspace-pledges.json", `"min": 1`, `"min": 0`))
 	f.Assert(out.Code, qt.Equals, 0, qt.Commentf("%s%s", out.Stdout, out.Stderr))
 	f.Check(out.Stdout, qt.Contains, "accepted as revision 2")
 }
 
-func TestUnknownOutcomeIsSettledAfterOthersHaveGoneOn(t *testing.T) {
+func TestOutcomeOfApplyIsReportedAfterLaterApplies(t *testing.T) {
 	f := newFleet(t)
 	const operation = "11111111-2222-3333-4444-555555555555"
-	mine := f.edit("workspace-pledges.json", `"min": 1`, `"min": 0`)
+	ownFile := f.editedCopy("workspace-pledges.json", `"min": 1`, `"min": 0`)
 	f.Objects.LoseKey.Store("moorrun/state/head")
 	f.Objects.LoseAnswer.Store(1)
-	f.Check(f.CLI("apply", mine, "--operation", operation).Code, qt.Equals, 0)
-	other := f.edit("workspace-gifts.json", `"latency_ms": 1000`, `"latency_ms": 900`)
-	f.Check(f.CLI("apply", other).Code, qt.Equals, 0)
-	settled := f.CLI("operation", operation)
-	f.Check(settled.Stdout, qt.Contains, "accepted as revision 2")
-	again := f.CLI("apply", mine, "--operation", operation, "--if-revision", "1")
-	f.Check(again.Stdout, qt.Contains, "accepted as revision 2")
+	f.Check(f.CLI("apply", ownFile, "--operation", operation).Code, qt.Equals, 0)
+	otherFile := f.editedCopy("workspace-gifts.json", `"latency_ms": 1000`, `"latency_ms": 900`)
+	f.Check(f.CLI("apply", otherFile).Code, qt.Equals, 0)
+	outcome := f.CLI("operation", operation)
+	f.Check(outcome.Stdout, qt.Contains, "accepted as revision 2")
+	retried := f.CLI("apply", ownFile, "--operation", operation, "--if-revision", "1")
+	f.Check(retried.Stdout, qt.Contains, "accepted as revision 2")
 	f.Objects.Down.Store(true)
-	down := f.CLI("apply", other)
+	down := f.CLI("apply", otherFile)
 	f.Check(down.Code == 1 || down.Code == 4, qt.IsTrue, qt.Commentf("%d %s", down.Code, down.Stderr))
 	f.Objects.Down.Store(false)
 }
@@ -58,16 +58,16 @@
 func TestRacingOperators(t *testing.T) {
 	f := newFleet(t)
 	files := []string{
-		f.edit("workspace-donors.json", `"places_per_replica": 8`, `"places_per_replica": 7`),
-		f.edit("workspace-donors.json", `"places_per_replica": 8`, `"places_per_replica": 9`),
+		f.editedCopy("workspace-donors.json", `"places_per_replica": 8`, `"places_per_replica": 7`),
+		f.editedCopy("workspace-donors.json", `"places_per_replica": 8`, `"places_per_replica": 9`),
 	}
-	outs := make([]lab.Output, len(files))
-	var race sync.WaitGroup
+	outputs := make([]lab.Output, len(files))
+	var applies sync.WaitGroup
 	for i, file := range files {
-		race.Go(func() { outs[i] = f.CLI("apply", file, "--if-revision", "1") })
+		applies.Go(func() { outputs[i] = f.CLI("apply", file, "--if-revision", "1") })
 	}
-	race.Wait()
-	winner, loser := outs[0], outs[1]
+	applies.Wait()
+	winner, loser := outputs[0], outputs[1]
 	if winner.Code != 0 {
 		winner, loser = loser, winner
 	}
@@ -77,16 +77,16 @@
 	f.Check(loser.Stdout, qt.Contains, "places_per_replica")
 }
 
-func TestWorkspaceOperatorsChangeOnlyTheirOwn(t *testing.T) {
+func TestWorkspaceOperatorsChangeOnlyTheirOwnWorkspace(t *testing.T) {
 	f := newFleet(t)
-	own := f.edit("workspace-donors.json", `"max": 3`, `"max": 2`)
+	own := f.editedCopy("workspace-donors.json", `"max": 3`, `"max": 2`)
 	f.Check(f.CLIAs("donors-operator-token", "apply", own, "--if-revision", "1").Code, qt.Equals, 0)
-	other := f.edit("workspace-pledges.json", `"min": 1`, `"min": 0`)
+	other := f.editedCopy("workspace-pledges.json", `"min": 1`, `"min": 0`)
 	f.Check(f.CLIAs("donors-operator-token", "apply", other).Code, qt.Equals, 2)
-	share := f.edit("pool.json", `"share": 3`, `"share": 30`)
+	share := f.editedCopy("pool.json", `"share": 3`, `"share": 30`)
 	f.Check(f.CLIAs("donors-operator-token", "apply", share).Code, qt.Equals, 2)
 	f.Check(f.CLIAs("pledges-operator-token", "apply", other, "--if-revision", "1").Code, qt.Equals, 0,
-		qt.Commentf("applies of different workspaces do not conflict"))
+		qt.Commentf("an apply conflicted with one of another workspace"))
 	got := f.CLIAs("donors-operator-token", "get")
 	f.Check(got.Stdout, qt.Contains, "workspace/donors")
 	f.Check(strings.Contains(got.Stdout, "workspace/pledges"), qt.IsFalse)
@@ -94,36 +94,36 @@
 
 func TestBadFilesChangeNothing(t *testing.T) {
 	f := newFleet(t)
-	out := f.CLI("apply", f.edit("workspace-donors.json", `"vms_per_replica": 4`, `"vms_per_replica": 3`))
+	out := f.CLI("apply", f.editedCopy("workspace-donors.json", `"vms_per_replica": 4`, `"vms_per_replica": 3`))
 	f.Check(out.Code, qt.Equals, 2)
 	f.Check(out.Stderr, qt.Contains, "/models/0/vms_per_replica")
-	unknown := f.CLI("apply", f.edit("pool.json", `"workspace": "gifts"`, `"workspace": "nobody"`))
+	unknown := f.CLI("apply", f.editedCopy("pool.json", `"workspace": "gifts"`, `"workspace": "nobody"`))
 	f.Check(unknown.Code, qt.Equals, 2)
 	f.Check(unknown.Stderr, qt.Contains, "/shares/2/workspace")
 	f.Check(f.CLI("apply", f.Files).Stdout, qt.Contains, "unchanged at revision 1")
 }
 
-func TestVersionRollsAndDrainsLeaveNobodyWaiting(t *testing.T) {
+func TestRequestsAreServedDuringRolloutAndDrain(t *testing.T) {
 	f := newFleet(t)
-	out := f.CLI("apply", f.edit("workspace-donors.json", `"version": "1"`, `"version": "2"`), "--wait")
-	f.Assert(revisionText.MatchString(out.Stdout), qt.IsTrue, qt.Commentf("%s", out.Stderr))
-	f.until("every letters group at version 2", func() bool {
-		f.Check(f.letter(0, "while rolling", 3, nil).Whole, qt.IsTrue)
+	out := f.CLI("apply", f.editedCopy("workspace-donors.json", `"version": "1"`, `"version": "2"`), "--wait")
+	f.Assert(acceptedPattern.MatchString(out.Stdout), qt.IsTrue, qt.Commentf("%s", out.Stderr))
+	f.waitUntil("three usable groups of letters-70b at version 2", func() bool {
+		f.Check(f.complete(0, "while rolling", 3, nil).Whole, qt.IsTrue)
 		s, err := f.Status()
 		if err != nil {
 			return false
 		}
-		there := 0
+		updated := 0
 		for _, g := range s.Groups {
 			if g.Model == "letters-70b" && g.Version == "2" && g.Usable {
-				there++
+				updated++
 			}
 		}
-		return there >= 3
+		return updated >= 3
 	})
 	f.Check(f.CLI("drain", "rvk-2-a-1").Code, qt.Equals, 0)
-	f.until("the drained VM in no group", func() bool {
-		f.Check(f.letter(2, "while draining", 3, nil).Whole, qt.IsTrue)
+	f.waitUntil("the drained VM is in no group", func() bool {
+		f.Check(f.complete(2, "while draining", 3, nil).Whole, qt.IsTrue)
 		id, _, _ := f.groupOf("rvk-2-a-1")
 		return id == ""
 	})
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -1,4 +1,4 @@
-// Package integration runs real moorrund processes over stand-ins and breaks them.
+// Package integration tests moorrund processes that run over stand-ins, and injects faults into both.
 package integration
 
 import (
@@ -14,9 +14,9 @@
 	"moorrun.dev/moorrun/internal/lab"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-var bin string
+var binDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "moorrun-test-")
@@ -27,44 +27,44 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	bin = dir
+	binDir = dir
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// fleet is a lab with three nodes in two data centres and Gjafabrú's example in force.
+// fleet is a lab with three nodes in two data centres and the configuration of examples/gjafabru.
 type fleet struct {
 	*lab.Lab
 	*qt.C
 	nodes []*lab.Node
 }
 
-// newFleet starts a fleet and waits until its four replica groups may be used.
-func newFleet(t *testing.T, tunes ...func(*lab.Options)) *fleet {
-	f := newBareFleet(t, tunes...)
+// newFleet starts a fleet, applies its configuration and waits until four replica groups are usable.
+func newFleet(t *testing.T, overrides ...func(*lab.Options)) *fleet {
+	f := newUnconfiguredFleet(t, overrides...)
 	f.apply()
-	f.Assert(f.UsableGroups(4, patience), qt.IsNil, qt.Commentf("%s", f.logs()))
+	f.Assert(f.UsableGroups(4, waitTimeout), qt.IsNil, qt.Commentf("%s", f.logTails()))
 	return f
 }
 
-// newBareFleet starts a fleet without configuration.
-func newBareFleet(t *testing.T, tunes ...func(*lab.Options)) *fleet {
+// newUnconfiguredFleet starts a fleet to which no configuration has been applied.
+func newUnconfiguredFleet(t *testing.T, overrides ...func(*lab.Options)) *fleet {
 	t.Parallel()
 	c := qt.New(t)
 	o := lab.Options{
-		Dir: t.TempDir(), Bin: bin, Config: filepath.Join("..", "..", "examples", "gjafabru"),
+		Dir: t.TempDir(), Bin: binDir, Config: filepath.Join("..", "..", "examples", "gjafabru"),
 		TokenEvery: 10 * time.Millisecond, Prefill: 10 * time.Millisecond, Load: 200 * time.Millisecond, LoadsASecond: 100,
 	}
-	for _, tune := range tunes {
-		tune(&o)
+	for _, override := range overrides {
+		override(&o)
 	}
 	l, err := lab.New(o)
 	c.Assert(err, qt.IsNil)
 	t.Cleanup(l.Close)
 	f := &fleet{Lab: l, C: c}
-	for _, place := range [][2]string{{"entry-1", "rvk-1"}, {"entry-2", "rvk-1"}, {"entry-3", "rvk-2"}} {
-		n, err := l.StartNode(place[0], place[1])
+	for _, entryVM := range [][2]string{{"entry-1", "rvk-1"}, {"entry-2", "rvk-1"}, {"entry-3", "rvk-2"}} {
+		n, err := l.StartNode(entryVM[0], entryVM[1])
 		c.Assert(err, qt.IsNil)
 		f.nodes = append(f.nodes, n)
 	}
@@ -73,11 +73,11 @@
 }
 
 func (f *fleet) apply() {
-	err := lab.Until(patience, "an accepted configuration", func() bool { return f.CLI("apply", f.Files, "--wait").Code == 0 })
-	f.Assert(err, qt.IsNil, qt.Commentf("%s", f.logs()))
+	err := lab.Until(waitTimeout, "an accepted configuration", func() bool { return f.CLI("apply", f.Files, "--wait").Code == 0 })
+	f.Assert(err, qt.IsNil, qt.Commentf("%s", f.logTails()))
 }
 
-func (f *fleet) logs() string {
+func (f *fleet) logTails() string {
 	text := ""
 	for _, n := range f.nodes {
 		content, _ := os.ReadFile(n.Log)
@@ -86,8 +86,8 @@
 	return text
 }
 
-// checkLogs fails the test when a process has found one of its own invariants breached, or has crashed. The logs of a test that has
-// failed are shown whole.
+// checkLogs fails the test if the log of a process reports a breached invariant, a panic or a data race. If the
+// test has already failed, it prints the complete logs.
 func (f *fleet) checkLogs(t *testing.T) {
 	for _, n := range f.nodes {
 		content, _ := os.ReadFile(n.Log)
@@ -102,18 +102,18 @@
 	}
 }
 
-func (f *fleet) address(i int) string { return f.nodes[i].Settings.CallerAddress }
+func (f *fleet) callerAddress(i int) string { return f.nodes[i].Settings.CallerAddress }
 
-// until fails the test unless ok becomes true in time.
-func (f *fleet) until(what string, ok func() bool) {
+// waitUntil fails the test unless ok returns true within waitTimeout.
+func (f *fleet) waitUntil(condition string, ok func() bool) {
 	f.Helper()
-	f.Assert(lab.Until(patience, what, ok), qt.IsNil, qt.Commentf("%s", f.logs()))
+	f.Assert(lab.Until(waitTimeout, condition, ok), qt.IsNil, qt.Commentf("%s", f.logTails()))
 }
 
-// holder returns the index of the node that holds a data centre's lease.
-func (f *fleet) holder(dataCentre string) int {
+// leaseHolder waits until a node holds the data centre's lease, and returns the index of that node.
+func (f *fleet) leaseHolder(dataCentre string) int {
 	found := -1
-	f.until("a lease holder in "+dataCentre, func() bool {
+	f.waitUntil("a node holds the lease of "+dataCentre, func() bool {
 		o, ok := f.Objects.Object("moorrun/leases/" + dataCentre)
 		for i, n := range f.nodes {
 			if ok && strings.Contains(string(o.Value), `"holder":"`+n.Settings.VM+`"`) {
@@ -126,15 +126,15 @@
 	return found
 }
 
-// letter asks for a completion of donors' model at a node.
-func (f *fleet) letter(node int, prompt string, tokens int, onEvent func(int) error) lab.Reply {
-	return lab.NewCaller("donors-caller-token").Complete(f.address(node), lab.Completion{Model: "letters-70b", Prompt: prompt, Tokens: tokens, OnEvent: onEvent})
+// complete sends a completion request of workspace donors to a node and returns the reply.
+func (f *fleet) complete(node int, prompt string, tokens int, onEvent func(int) error) lab.Reply {
+	return lab.NewCaller("donors-caller-token").Complete(f.callerAddress(node), lab.Completion{Model: "letters-70b", Prompt: prompt, Tokens: tokens, OnEvent: onEvent})
 }
 
-// busyLeader returns the VM that runs a request now.
-func (f *fleet) busyLeader() string {
+// busyVM waits until an engine runs a request, and returns its VM.
+func (f *fleet) busyVM() string {
 	vm := ""
-	f.until("a running request", func() bool {
+	f.waitUntil("an engine runs a request", func() bool {
 		for name, e := range f.Engines {
 			if e.State().Running > 0 {
 				vm = name
@@ -146,7 +146,8 @@
 	return vm
 }
 
-// usable reports whether routers may use the group with that VM, and names it.
+// groupOf returns the ID and the members of the VM's replica group, and whether routers may use the group. The ID is
+// empty if the VM is in no group or the status cannot be read.
 func (f *fleet) groupOf(vm string) (id string, usable bool, members []string) {
 	s, err := f.Status()
 	if err != nil {
--- a/test/integration/pause_test.go
+++ b/test/integration/pause_test.go
@@ -11,29 +11,30 @@
 	"moorrun.dev/moorrun/internal/lab"
 )
 
-// pauseSeconds is longer than any caller here waits.
+// pauseSeconds exceeds the time that any caller in these tests waits.
 const pauseSeconds = 600
 
-// refusedAtOnce asks until no endpoint is asked any more, and checks what the caller is told then.
-func (f *fleet) refusedAtOnce(asked func() int64, ask func() lab.Reply) {
+// checkRefusedAtOnce sends requests until one reaches no endpoint, that is, leaves attempts unchanged. It checks that
+// this one is refused as not run, with a Retry-After of more than half the pause.
+func (f *fleet) checkRefusedAtOnce(attempts func() int64, send func() lab.Reply) {
 	f.Helper()
 	var reply lab.Reply
-	f.until("no endpoint is asked any more", func() bool {
-		before := asked()
-		reply = ask()
-		return asked() == before
+	f.waitUntil("the request reaches no endpoint", func() bool {
+		before := attempts()
+		reply = send()
+		return attempts() == before
 	})
 	f.Check(reply.Status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(reply.Verdict, qt.Equals, "not-run")
 	seconds, err := strconv.Atoi(reply.RetryAfter)
 	f.Check(err, qt.IsNil)
-	f.Check(seconds > pauseSeconds/2, qt.IsTrue, qt.Commentf("come back after %d s", seconds))
+	f.Check(seconds > pauseSeconds/2, qt.IsTrue, qt.Commentf("Retry-After is %d s", seconds))
 }
 
-// Guards against a node asking engines on that refuse with Retry-After.
-func TestEnginesThatAskForAPauseAreLeftAlone(t *testing.T) {
+// Guards against a node sending requests to engines during the pause that they have asked for with Retry-After.
+func TestEnginesThatAskForAPauseGetNoRequests(t *testing.T) {
 	f := newFleet(t)
-	tried := func() int64 {
+	attempts := func() int64 {
 		n := int64(0)
 		for _, e := range f.Engines {
 			n += e.Tried.Load()
@@ -43,36 +44,38 @@
 	for _, e := range f.Engines {
 		e.Pause.Store(pauseSeconds)
 	}
-	f.refusedAtOnce(tried, func() lab.Reply { return f.letter(0, "p", 1, nil) })
+	f.checkRefusedAtOnce(attempts, func() lab.Reply { return f.complete(0, "p", 1, nil) })
 }
 
-// Guards against a node sending on to a group whose engine refuses with Retry-After while others have room.
-func TestGroupThatAsksForAPauseIsPassedOver(t *testing.T) {
+// Guards against a node sending requests to a group whose engine has refused with Retry-After while other groups
+// have free places.
+func TestGroupThatAsksForAPauseGetsNoRequests(t *testing.T) {
 	f := newFleet(t)
-	f.until("a letter", func() bool { return f.letter(0, "first", 1, nil).Whole })
-	var asking string
+	f.waitUntil("the first completion is whole", func() bool { return f.complete(0, "first", 1, nil).Whole })
+	var pausingVM string
 	for vm, e := range f.Engines {
 		if e.Runs.Load() > 0 {
-			asking = vm
+			pausingVM = vm
 			e.Pause.Store(pauseSeconds)
 		}
 	}
-	before := f.Engines[asking].Tried.Load()
+	before := f.Engines[pausingVM].Tried.Load()
 	for i := range 40 {
-		f.Check(f.letter(0, fmt.Sprint("letter", i), 1, nil).Whole, qt.IsTrue)
+		f.Check(f.complete(0, fmt.Sprint("letter", i), 1, nil).Whole, qt.IsTrue)
 	}
-	f.Check(f.Engines[asking].Tried.Load()-before <= 1, qt.IsTrue, qt.Commentf("asked %d times", f.Engines[asking].Tried.Load()-before))
+	f.Check(f.Engines[pausingVM].Tried.Load()-before <= 1, qt.IsTrue, qt.Commentf("%d more attempts at the pausing engine", f.Engines[pausingVM].Tried.Load()-before))
 }
 
-// Guards against a node asking endpoints of a plain service on that turn calls away with Retry-After.
-func TestPlainEndpointsThatAskForAPauseAreLeftAlone(t *testing.T) {
+// Guards against a node sending requests to endpoints of a plain service during the pause that they have asked for
+// with Retry-After.
+func TestPlainEndpointsThatAskForAPauseGetNoRequests(t *testing.T) {
 	f := newFleet(t)
 	for _, p := range f.Plains {
 		p.Pause.Store(pauseSeconds)
 	}
-	refused := func() int64 { return f.Plains["receipts-1"].Refused.Load() + f.Plains["receipts-2"].Refused.Load() }
+	refusals := func() int64 { return f.Plains["receipts-1"].Refused.Load() + f.Plains["receipts-2"].Refused.Load() }
 	gifts := lab.NewCaller("gifts-caller-token")
-	f.refusedAtOnce(refused, func() lab.Reply {
-		return gifts.Plain(f.address(0), http.MethodPost, receiptPath, "m", "", "100 kr")
+	f.checkRefusedAtOnce(refusals, func() lab.Reply {
+		return gifts.Plain(f.callerAddress(0), http.MethodPost, receiptPath, "m", "", "100 kr")
 	})
 }
--- a/test/integration/places_test.go
+++ b/test/integration/places_test.go
@@ -10,27 +10,28 @@
 	"moorrun.dev/moorrun/internal/lab"
 )
 
-// Guards against each node giving a plain endpoint as many calls at a time as it takes from all of them.
+// Guards against nodes exceeding a plain endpoint's limit of concurrent calls together because each node counts only
+// its own calls.
 func TestPlainEndpointGetsNoMoreCallsAtATimeThanItTakes(t *testing.T) {
 	const (
-		places  = 16 // of each endpoint, in the example's configuration
-		callers = 8 * places
-		takesMS = 500
+		places        = 16 // of each endpoint in examples/gjafabru
+		callers       = 8 * places
+		answerDelayMS = 500
 	)
 	f := newFleet(t)
 	for _, p := range f.Plains {
-		p.DelayMillis.Store(takesMS)
+		p.DelayMillis.Store(answerDelayMS)
 	}
 	gifts := lab.NewCaller("gifts-caller-token")
 	var calls sync.WaitGroup
 	for i := range callers {
 		calls.Go(func() {
-			reply := gifts.Plain(f.address(i%len(f.nodes)), http.MethodPost, receiptPath, "m", "", "100 kr")
+			reply := gifts.Plain(f.callerAddress(i%len(f.nodes)), http.MethodPost, receiptPath, "m", "", "100 kr")
 			f.Check(reply.Status, qt.Equals, http.StatusOK)
 		})
 	}
 	calls.Wait()
 	for name, p := range f.Plains {
-		f.Check(p.MostAtOnce() <= places, qt.IsTrue, qt.Commentf("%s had %d calls at a time, takes %d", name, p.MostAtOnce(), places))
+		f.Check(p.MostAtOnce() <= places, qt.IsTrue, qt.Commentf("%s ran %d concurrent calls, its limit is %d", name, p.MostAtOnce(), places))
 	}
 }
--- a/test/integration/race_on_test.go
+++ b/test/integration/race_on_test.go
@@ -2,5 +2,5 @@
 
 package integration
 
-// raceFlags build the processes with the race detector when the tests have it; its findings fail them.
+// raceFlags enable the race detector in the moorrund processes too; checkLogs fails the test on a reported race.
 var raceFlags = []string{"-race"}
--- a/test/integration/path_test.go
+++ b/test/integration/request_test.go
@@ -14,23 +14,23 @@
 	"moorrun.dev/moorrun/internal/lab"
 )
 
-func TestWholePath(t *testing.T) {
+func TestCompletionsAndPlainCallsAreServed(t *testing.T) {
 	f := newFleet(t)
 	donors := lab.NewCaller("donors-caller-token")
-	answer, err := donors.Which(f.address(0))
+	answer, err := donors.Which(f.callerAddress(0))
 	f.Assert(err, qt.IsNil)
 	f.Assert(answer.Addresses, qt.HasLen, 3)
 	for i := range f.nodes {
-		reply := f.letter(i, fmt.Sprint("letter", i), 8, nil)
+		reply := f.complete(i, fmt.Sprint("letter", i), 8, nil)
 		f.Check(reply.Whole, qt.IsTrue)
 		f.Check(reply.Text, qt.Equals, lab.ExpectedText(fmt.Sprint("letter", i), 8))
-		whole := donors.Complete(f.address(i), lab.Completion{Model: "letters-70b", Prompt: "w", Tokens: 3, Whole: true})
-		f.Check(whole.Text, qt.Contains, lab.ExpectedText("w", 3))
+		unstreamed := donors.Complete(f.callerAddress(i), lab.Completion{Model: "letters-70b", Prompt: "w", Tokens: 3, Whole: true})
+		f.Check(unstreamed.Text, qt.Contains, lab.ExpectedText("w", 3))
 	}
-	burnt := f.CLI("report", "burn", "-o", "json")
-	f.Check(burnt.Stdout, qt.Contains, `"total": 6,`)
-	f.Check(regexp.MustCompile(`"bad": [1-9]`).MatchString(burnt.Stdout), qt.IsFalse, qt.Commentf("whole answers count as good: %s", burnt.Stdout))
-	receipt := lab.NewCaller("gifts-caller-token").Plain(f.address(0), http.MethodPost, "/services/receipts/receipts", "m", "", "100 kr")
+	burn := f.CLI("report", "burn", "-o", "json")
+	f.Check(burn.Stdout, qt.Contains, `"total": 6,`)
+	f.Check(regexp.MustCompile(`"bad": [1-9]`).MatchString(burn.Stdout), qt.IsFalse, qt.Commentf("a complete answer was counted as bad: %s", burn.Stdout))
+	receipt := lab.NewCaller("gifts-caller-token").Plain(f.callerAddress(0), http.MethodPost, "/services/receipts/receipts", "m", "", "100 kr")
 	f.Check(receipt.Status, qt.Equals, http.StatusOK)
 	f.Check(receipt.Verdict, qt.Equals, "ran")
 	f.Check(f.Plains["receipts-1"].Runs("m")+f.Plains["receipts-2"].Runs("m"), qt.Equals, 1)
@@ -48,50 +48,50 @@
 		{"another workspace's model", "gifts-caller-token", "classify-30b", http.StatusNotFound},
 	}
 	for _, c := range cases {
-		reply := lab.NewCaller(c.token).Complete(f.address(0), lab.Completion{Model: c.model, Prompt: "p", Tokens: 1})
+		reply := lab.NewCaller(c.token).Complete(f.callerAddress(0), lab.Completion{Model: c.model, Prompt: "p", Tokens: 1})
 		f.Check(reply.Status, qt.Equals, c.status, qt.Commentf(c.name))
 		f.Check(reply.Verdict, qt.Equals, "not-run", qt.Commentf(c.name))
 	}
-	shared := lab.NewCaller("pledges-caller-token").Complete(f.address(0), lab.Completion{Model: "letters-70b", Prompt: "p", Tokens: 1})
+	shared := lab.NewCaller("pledges-caller-token").Complete(f.callerAddress(0), lab.Completion{Model: "letters-70b", Prompt: "p", Tokens: 1})
 	f.Check(shared.Whole, qt.IsTrue)
 }
 
 func TestEachCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	f := newFleet(t)
 	for _, e := range f.Engines {
-		e.CrossNext.Store(true) // the first answer of each engine is another request's
+		e.CrossNext.Store(true) // the engine answers its first request under another request's ID
 	}
 	var callers sync.WaitGroup
 	for i := range 40 {
 		callers.Go(func() {
 			prompt := fmt.Sprint("mine-", i)
-			reply := f.letter(i%3, prompt, 5, nil)
+			reply := f.complete(i%3, prompt, 5, nil)
 			f.Check(reply.Text, qt.Equals, lab.ExpectedText(prompt, 5), qt.Commentf("status %d, verdict %q", reply.Status, reply.Verdict))
 		})
 	}
 	callers.Wait()
 }
 
-func TestStreamThatLosesAMemberIsNotEndedAsWhole(t *testing.T) {
+func TestStreamOfAGroupThatLosesAMemberIsNotReportedWhole(t *testing.T) {
 	f := newFleet(t)
-	var lost string
-	reply := f.letter(0, "cut", 400, func(n int) error {
+	var killedVM string
+	reply := f.complete(0, "cut", 400, func(n int) error {
 		if n == 5 {
-			leader := f.busyLeader()
+			leader := f.busyVM()
 			_, _, members := f.groupOf(leader)
-			lost = members[len(members)-1]
-			f.Engines[lost].Kill()
+			killedVM = members[len(members)-1]
+			f.Engines[killedVM].Kill()
 		}
 		return nil
 	})
 	f.Check(reply.Whole, qt.IsFalse)
 	f.Check(reply.Verdict, qt.Equals, "may-have-run")
 	f.Check(reply.Events < 400, qt.IsTrue)
-	f.until("the broken group out of use, then whole again without the lost VM", func() bool {
-		id, _, _ := f.groupOf(lost)
+	f.waitUntil("the killed VM is in no group", func() bool {
+		id, _, _ := f.groupOf(killedVM)
 		return id == ""
 	})
-	f.Assert(f.UsableGroups(4, patience), qt.IsNil)
+	f.Assert(f.UsableGroups(4, waitTimeout), qt.IsNil)
 }
 
 func TestGroupOutOfUseOnceAMemberIsSilent(t *testing.T) {
@@ -99,7 +99,7 @@
 	vm := "rvk-1-a-2"
 	id, usable, _ := f.groupOf(vm)
 	f.Assert(usable, qt.IsTrue)
-	f.Objects.Down.Store(true) // evidence does not need the store
+	f.Objects.Down.Store(true) // evidence is distributed without the store
 	f.Engines[vm].Freeze(true)
 	usableNow := func() bool {
 		s, err := f.Status()
@@ -107,24 +107,24 @@
 		i := slices.IndexFunc(s.Groups, func(g adminapi.Group) bool { return g.ID == id })
 		return s.Groups[i].Usable
 	}
-	f.until("the group out of use", func() bool { return !usableNow() })
-	reply := f.letter(0, "others serve on", 4, nil)
+	f.waitUntil("the group is not usable", func() bool { return !usableNow() })
+	reply := f.complete(0, "others serve on", 4, nil)
 	f.Check(reply.Whole, qt.IsTrue)
 	f.Engines[vm].Freeze(false)
-	f.until("the group back in use, the store still down", usableNow)
+	f.waitUntil("the group is usable again while the store is down", usableNow)
 	f.Objects.Down.Store(false)
 }
 
-func TestLeavingCallerCancelsItsStream(t *testing.T) {
+func TestDisconnectedCallerCancelsItsStream(t *testing.T) {
 	f := newFleet(t)
-	reply := f.letter(1, "leaving", 500, func(n int) error {
+	reply := f.complete(1, "leaving", 500, func(n int) error {
 		if n == 3 {
 			return lab.ErrLate
 		}
 		return nil
 	})
 	f.Check(reply.Err, qt.Equals, lab.ErrLate)
-	f.until("a cancelled stream at an engine", func() bool {
+	f.waitUntil("an engine has cancelled the stream", func() bool {
 		total := int64(0)
 		for _, e := range f.Engines {
 			total += e.Cancelled.Load()
