--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -7,89 +7,90 @@
 	"moorrun.dev/moorrun/internal/standin"
 )
 
-// fault makes one fault, lets it work for a while and mostly ends it.
-func (w *walk) fault() {
-	w.tally.mu.Lock()
-	w.tally.faults++
-	w.tally.mu.Unlock()
-	length := time.Duration(200+w.rand.IntN(2500)) * time.Millisecond
-	i := w.rand.IntN(len(w.nodes))
+// injectFault injects one randomly chosen fault, or two that occur together, for a random time. Lost or cut answers
+// and answers under another request's ID are limited by number, not by time.
+func (w *workload) injectFault() {
+	w.results.mu.Lock()
+	w.results.faults++
+	w.results.mu.Unlock()
+	duration := time.Duration(200+w.faultRand.IntN(2500)) * time.Millisecond
+	i := w.faultRand.IntN(len(w.nodes))
 	node := w.nodes[i]
-	links := []standin.Fault{standin.Cut, standin.Silent, standin.OneWay, standin.Slow}
-	fault := links[w.rand.IntN(len(links))]
-	engine := w.lab.Engines[w.engine()]
-	plain := w.lab.Plains[[]string{"receipts-1", "receipts-2"}[w.rand.IntN(2)]]
-	switch w.rand.IntN(14) {
+	linkFaults := []standin.Fault{standin.Cut, standin.Silent, standin.OneWay, standin.Slow}
+	fault := linkFaults[w.faultRand.IntN(len(linkFaults))]
+	engine := w.lab.Engines[w.randomEngineVM()]
+	endpoint := w.lab.Plains[[]string{"receipts-1", "receipts-2"}[w.faultRand.IntN(2)]]
+	switch w.faultRand.IntN(14) {
 	case 0:
 		node.Kill()
-		time.Sleep(length)
-		w.replace(i)
+		time.Sleep(duration)
+		w.restartNode(i)
 	case 1:
 		node.Pause(true)
-		time.Sleep(length)
+		time.Sleep(duration)
 		node.Pause(false)
 	case 2:
 		node.Peers.Set(fault)
-		time.Sleep(length)
+		time.Sleep(duration)
 		node.Peers.Set(standin.Pass)
 	case 3:
 		node.Store.Set(fault)
-		time.Sleep(length)
+		time.Sleep(duration)
 		node.Store.Set(standin.Pass)
 	case 4:
 		w.lab.Objects.Down.Store(true)
-		time.Sleep(2 * length)
+		time.Sleep(2 * duration)
 		w.lab.Objects.Down.Store(false)
 	case 5:
-		w.lab.Objects.SlowMillis.Store(int64(100 + w.rand.IntN(600)))
-		time.Sleep(length)
+		w.lab.Objects.SlowMillis.Store(int64(100 + w.faultRand.IntN(600)))
+		time.Sleep(duration)
 		w.lab.Objects.SlowMillis.Store(0)
 	case 6:
-		w.lab.Objects.LoseAnswer.Store(int64(1 + w.rand.IntN(5)))
+		w.lab.Objects.LoseAnswer.Store(int64(1 + w.faultRand.IntN(5)))
 	case 7:
 		engine.Kill()
-		time.Sleep(2 * length)
+		time.Sleep(2 * duration)
 		_ = engine.Restart()
 	case 8:
 		engine.Freeze(true)
-		time.Sleep(length)
+		time.Sleep(duration)
 		engine.Freeze(false)
 	case 9:
 		w.lab.Links[engine.VM].Set(fault)
-		time.Sleep(length)
+		time.Sleep(duration)
 		w.lab.Links[engine.VM].Set(standin.Pass)
 	case 10:
 		engine.CrossNext.Store(true)
-		plain.CutAfter.Store(int64(1 + w.rand.IntN(3)))
+		endpoint.CutAfter.Store(int64(1 + w.faultRand.IntN(3)))
 	case 11:
 		w.lab.CLI("drain", engine.VM)
-		time.Sleep(length)
+		time.Sleep(duration)
 		w.lab.CLI("drain", engine.VM, "--undo")
 	case 12:
 		engine.Pause.Store(1)
-		time.Sleep(length)
+		time.Sleep(duration)
 		engine.Pause.Store(0)
-	default: // two at once: a paused node, and the store out
+	default: // a paused node during a store outage
 		node.Pause(true)
 		w.lab.Objects.Down.Store(true)
-		time.Sleep(length)
+		time.Sleep(duration)
 		w.lab.Objects.Down.Store(false)
 		node.Pause(false)
 	}
-	time.Sleep(time.Duration(w.rand.IntN(400)) * time.Millisecond)
+	time.Sleep(time.Duration(w.faultRand.IntN(400)) * time.Millisecond)
 }
 
-// engine names an engine VM by the walk's own choice.
-func (w *walk) engine() string {
-	domain := []string{"rvk-1-a-", "rvk-2-a-"}[w.rand.IntN(2)]
-	return domain + string(rune('1'+w.rand.IntN(9)))
+// randomEngineVM returns the name of a randomly chosen engine VM.
+func (w *workload) randomEngineVM() string {
+	prefix := []string{"rvk-1-a-", "rvk-2-a-"}[w.faultRand.IntN(2)]
+	return prefix + string(rune('1'+w.faultRand.IntN(9)))
 }
 
-// replace starts an empty process in a killed node's place.
-func (w *walk) replace(i int) {
+// restartNode starts a process without any state for a killed node's VM.
+func (w *workload) restartNode(i int) {
 	n, err := w.lab.Restart(w.nodes[i])
 	if err != nil {
-		w.tally.violate("%v", err)
+		w.results.addViolation("%v", err)
 		return
 	}
 	w.mu.Lock()
@@ -97,8 +98,8 @@
 	w.nodes[i] = n
 }
 
-// heal ends whatever is still broken.
-func (w *walk) heal() {
+// clearFaults ends the store faults, engine link faults and drains that are still in effect.
+func (w *workload) clearFaults() {
 	w.lab.Objects.Down.Store(false)
 	w.lab.Objects.SlowMillis.Store(0)
 	w.lab.Objects.LoseAnswer.Store(0)
@@ -110,12 +111,12 @@
 		if err != nil {
 			return false
 		}
-		clean := true
+		undone := true
 		for _, vm := range s.VMs {
 			if vm.Drained {
-				clean = w.lab.CLI("drain", vm.Name, "--undo").Code == 0 && clean
+				undone = w.lab.CLI("drain", vm.Name, "--undo").Code == 0 && undone
 			}
 		}
-		return clean
+		return undone
 	})
 }
--- a/test/soak/load.go
+++ b/test/soak/load.go
@@ -10,91 +10,93 @@
 	"moorrun.dev/moorrun/internal/lab"
 )
 
-// calls are the keyed calls and what their callers were told last.
-type calls struct {
-	mu   sync.Mutex
-	last map[string]string // mark → final verdict
+// keyedCalls holds the last verdict that the caller of each call with an idempotency key received.
+type keyedCalls struct {
+	mu       sync.Mutex
+	verdicts map[string]string // by mark
 }
 
-// stream asks for completions and checks that each answer is the caller's own and whole, or says that it is not.
-func (w *walk) stream(caller int) {
+// requestCompletions requests completions until the run ends, and checks that each answer belongs to its own request
+// and is either complete or reported as incomplete.
+func (w *workload) requestCompletions(caller int) {
 	donors := lab.NewCaller("donors-caller-token")
 	for n := 0; !w.stopped(); n++ {
 		prompt := fmt.Sprintf("c%d-%d", caller, n)
 		tokens := 3 + n%40
-		reply := donors.Complete(w.address(caller+n), lab.Completion{Model: "letters-70b", Prompt: prompt, Tokens: tokens, DeadlineMS: 8000})
-		w.tally.request()
-		whole := lab.ExpectedText(prompt, tokens)
+		reply := donors.Complete(w.callerAddress(caller+n), lab.Completion{Model: "letters-70b", Prompt: prompt, Tokens: tokens, DeadlineMS: 8000})
+		w.results.countRequest()
+		expected := lab.ExpectedText(prompt, tokens)
 		switch {
 		case reply.Status == http.StatusOK && reply.Whole:
-			w.tally.check(reply.Text == whole, "prompt %s got %q as its whole answer", prompt, reply.Text)
+			w.results.check(reply.Text == expected, "prompt %s got %q as its whole answer", prompt, reply.Text)
 		case reply.Status == http.StatusOK:
-			w.tally.check(strings.HasPrefix(whole, reply.Text), "prompt %s got %q as part of its answer", prompt, reply.Text)
-			w.resume(donors, caller+n+1, prompt, tokens, reply)
+			w.results.check(strings.HasPrefix(expected, reply.Text), "prompt %s got %q as part of its answer", prompt, reply.Text)
+			w.checkResume(donors, caller+n+1, prompt, tokens, reply)
 		default:
-			w.tally.check(reply.Err != nil || reply.Verdict != "", "a refusal with status %d has no verdict", reply.Status)
+			w.results.check(reply.Err != nil || reply.Verdict != "", "a refusal with status %d has no verdict", reply.Status)
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
 }
 
-// resume continues a cut stream elsewhere; if the engine still has it, the two parts make the whole.
-func (w *walk) resume(c *lab.Caller, node int, prompt string, tokens int, cut lab.Reply) {
+// checkResume resumes a cut stream at another node. If this succeeds, the two parts must make up the complete answer.
+func (w *workload) checkResume(c *lab.Caller, node int, prompt string, tokens int, cut lab.Reply) {
 	if cut.Resume == "" {
 		return
 	}
-	rest := c.Resume(w.address(node), cut.Resume, cut.Events)
-	if rest.Status == http.StatusOK && rest.Whole {
-		w.tally.check(cut.Text+rest.Text == lab.ExpectedText(prompt, tokens), "prompt %s resumed to %q + %q", prompt, cut.Text, rest.Text)
+	remainder := c.Resume(w.callerAddress(node), cut.Resume, cut.Events)
+	if remainder.Status == http.StatusOK && remainder.Whole {
+		w.results.check(cut.Text+remainder.Text == lab.ExpectedText(prompt, tokens), "prompt %s resumed to %q + %q", prompt, cut.Text, remainder.Text)
 	}
 }
 
-// receipts makes calls that may not be repeated, each sent again with its key until the outcome is final.
-func (w *walk) receipts(caller int) {
+// requestReceipts makes calls that must not run more than once. Each is retried with its idempotency key, up to five
+// sends, until it has run or its key conflicts.
+func (w *workload) requestReceipts(caller int) {
 	gifts := lab.NewCaller("gifts-caller-token")
 	for n := 0; !w.stopped(); n++ {
 		mark := fmt.Sprintf("r%d-%d", caller, n)
-		prefix, _ := gifts.KeyPrefix(w.address(caller + n))
+		prefix, _ := gifts.KeyPrefix(w.callerAddress(caller + n))
 		if prefix == "" {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		w.sendReceipt(gifts, caller+n, mark, prefix+"/"+mark)
+		w.requestReceipt(gifts, caller+n, mark, prefix+"/"+mark)
 	}
 }
 
-func (w *walk) sendReceipt(gifts *lab.Caller, node int, mark, key string) {
-	final := ""
-	for send := range 5 {
-		reply := gifts.Plain(w.address(node+send), http.MethodPost, "/services/receipts/receipts", mark, key, "1")
-		w.tally.request()
+func (w *workload) requestReceipt(gifts *lab.Caller, node int, mark, key string) {
+	verdict := ""
+	for attempt := range 5 {
+		reply := gifts.Plain(w.callerAddress(node+attempt), http.MethodPost, "/services/receipts/receipts", mark, key, "1")
+		w.results.countRequest()
 		if reply.Err == nil {
-			final = reply.Verdict
+			verdict = reply.Verdict
 		} else {
-			final = "may-have-run"
+			verdict = "may-have-run"
 		}
 		if reply.Status == http.StatusOK || reply.Status == http.StatusConflict {
 			break
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
-	w.calls.mu.Lock()
-	defer w.calls.mu.Unlock()
-	if w.calls.last == nil {
-		w.calls.last = make(map[string]string)
+	w.keyedCalls.mu.Lock()
+	defer w.keyedCalls.mu.Unlock()
+	if w.keyedCalls.verdicts == nil {
+		w.keyedCalls.verdicts = make(map[string]string)
 	}
-	w.calls.last[mark] = final
+	w.keyedCalls.verdicts[mark] = verdict
 }
 
-// checkRuns compares what callers were told with what the endpoints counted.
-func (w *walk) checkRuns() {
-	for mark, final := range w.calls.last {
+// checkRunCounts compares the verdicts that callers received with the runs counted by the endpoints.
+func (w *workload) checkRunCounts() {
+	for mark, verdict := range w.keyedCalls.verdicts {
 		runs := 0
 		for _, p := range w.lab.Plains {
 			runs += p.Runs(mark)
 		}
-		w.tally.check(runs <= 1, "call %s ran %d times", mark, runs)
-		w.tally.check(final != "not-run" || runs == 0, "call %s was said not to have run and ran %d times", mark, runs)
-		w.tally.check(final != "ran" || runs == 1, "call %s was said to have run and ran %d times", mark, runs)
+		w.results.check(runs <= 1, "call %s ran %d times", mark, runs)
+		w.results.check(verdict != "not-run" || runs == 0, "call %s has the verdict not-run but ran %d times", mark, runs)
+		w.results.check(verdict != "ran" || runs == 1, "call %s has the verdict ran but ran %d times", mark, runs)
 	}
 }
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak walks at random through faults, loads and applies over real processes, and checks what must
-// always hold, from outside and by the processes' own invariants. A seed repeats the walk's decisions.
+// Command soak runs a random walk of faults against moorrund processes under load and configuration changes. It
+// checks the invariants of the system from outside and collects the results of the processes' own checks. The same
+// seed repeats the choice of faults, but not their timing relative to the requests.
 package main
 
 import (
@@ -17,9 +18,9 @@
 
 func main() {
 	seed := flag.Uint64("seed", 1, "seed of the walk")
-	length := flag.Duration("for", time.Minute, "how long to walk")
+	duration := flag.Duration("for", time.Minute, "how long to walk")
 	flag.Parse()
-	violations, err := run(*seed, *length)
+	violations, err := run(*seed, *duration)
 	if err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(1)
@@ -29,20 +30,20 @@
 	}
 }
 
-// walk is one run.
-type walk struct {
-	lab      *lab.Lab
-	rand     *rand.Rand // of the fault line only
-	mu       sync.Mutex
-	nodes    []*lab.Node
-	logs     map[string]bool
-	tally    tally
-	calls    calls
-	history  history
-	stopping chan struct{}
+// workload is one run: the lab under test, its load and faults, and the results.
+type workload struct {
+	lab        *lab.Lab
+	faultRand  *rand.Rand // used only to choose faults
+	mu         sync.Mutex
+	nodes      []*lab.Node
+	logFiles   map[string]bool
+	results    results
+	keyedCalls keyedCalls
+	history    history
+	stopping   chan struct{}
 }
 
-func run(seed uint64, length time.Duration) (int, error) {
+func run(seed uint64, duration time.Duration) (int, error) {
 	dir, err := os.MkdirTemp("", "moorrun-soak-")
 	if err != nil {
 		return 0, err
@@ -59,29 +60,29 @@
 		return 0, err
 	}
 	defer l.Close()
-	w := &walk{lab: l, rand: rand.New(rand.NewPCG(seed, seed)), logs: make(map[string]bool), stopping: make(chan struct{})} //nolint:gosec // repeatable on purpose
+	w := &workload{lab: l, faultRand: rand.New(rand.NewPCG(seed, seed)), logFiles: make(map[string]bool), stopping: make(chan struct{})} //nolint:gosec // repeatable on purpose
 	if err := w.start(); err != nil {
 		return 0, err
 	}
-	w.walk(length)
-	if err := w.settle(); err != nil {
-		w.tally.violate("%v", err)
+	w.runAll(duration)
+	if err := w.waitForRecovery(); err != nil {
+		w.results.addViolation("%v", err)
 	}
-	w.checkRuns()
-	w.checkHistory()
+	w.checkRunCounts()
+	w.checkLinearizability()
 	checks := w.checkInvariants()
-	fmt.Printf("soak: seed %d, %d faults, %d requests, %d checks, %d violations\n", seed, w.tally.faults, w.tally.requests, checks, len(w.tally.violations))
-	return len(w.tally.violations), nil
+	fmt.Printf("soak: seed %d, %d faults, %d requests, %d checks, %d violations\n", seed, w.results.faults, w.results.requests, checks, len(w.results.violations))
+	return len(w.results.violations), nil
 }
 
-func (w *walk) start() error {
+func (w *workload) start() error {
 	for i := range 4 {
 		n, err := w.lab.StartNode(fmt.Sprint("entry-", i+1), fmt.Sprint("rvk-", 1+i%2))
 		if err != nil {
 			return err
 		}
 		w.nodes = append(w.nodes, n)
-		w.logs[n.Log] = true
+		w.logFiles[n.Log] = true
 	}
 	const limit = 30 * time.Second
 	if err := lab.Until(limit, "an accepted configuration", func() bool { return w.lab.CLI("apply", w.lab.Files, "--wait").Code == 0 }); err != nil {
@@ -90,27 +91,27 @@
 	return w.lab.UsableGroups(4, limit)
 }
 
-// walk runs load, operators and faults side by side.
-func (w *walk) walk(length time.Duration) {
-	var all sync.WaitGroup
+// runAll runs callers and operators concurrently and injects faults one after the other meanwhile.
+func (w *workload) runAll(duration time.Duration) {
+	var tasks sync.WaitGroup
 	for i := range 16 {
-		all.Go(func() { w.stream(i) })
+		tasks.Go(func() { w.requestCompletions(i) })
 	}
 	for i := range 8 {
-		all.Go(func() { w.receipts(i) })
+		tasks.Go(func() { w.requestReceipts(i) })
 	}
 	for i := range 2 {
-		all.Go(func() { w.operate(i) })
+		tasks.Go(func() { w.applyChanges(i) })
 	}
-	end := time.Now().Add(length)
+	end := time.Now().Add(duration)
 	for time.Now().Before(end) {
-		w.fault()
+		w.injectFault()
 	}
 	close(w.stopping)
-	all.Wait()
+	tasks.Wait()
 }
 
-func (w *walk) stopped() bool {
+func (w *workload) stopped() bool {
 	select {
 	case <-w.stopping:
 		return true
@@ -119,15 +120,15 @@
 	}
 }
 
-func (w *walk) address(i int) string {
+func (w *workload) callerAddress(i int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nodes[i%len(w.nodes)].Settings.CallerAddress
 }
 
-// settle ends every fault and waits until all groups are in use again.
-func (w *walk) settle() error {
-	w.heal()
+// waitForRecovery ends all faults and waits until four replica groups are usable again.
+func (w *workload) waitForRecovery() error {
+	w.clearFaults()
 	err := w.lab.UsableGroups(4, time.Minute)
 	if err == nil {
 		return nil
@@ -136,8 +137,9 @@
 	return fmt.Errorf("after all faults ended: %w\n%+v %w", err, s.Groups, statusErr)
 }
 
-// checkInvariants adds up the processes' own checks and reports their breaches, also of killed ones.
-func (w *walk) checkInvariants() int64 {
+// checkInvariants returns the number of checks made by soak and by the running processes. It records a violation for
+// each process that reports breaches, and for each breach or crash in a log, which includes killed processes.
+func (w *workload) checkInvariants() int64 {
 	checks := int64(0)
 	for _, n := range w.lab.Nodes() {
 		out := w.lab.CLIAt(lab.OperatorToken, []string{n.Settings.AdminAddress}, "status", "-o", "json")
@@ -148,16 +150,16 @@
 		decode(out.Stdout, &s)
 		checks += s.Checks
 		if s.Breaches > 0 {
-			w.tally.violate("%s has found %d breaches", n.Settings.VM, s.Breaches)
+			w.results.addViolation("%s reports %d invariant breaches", n.Settings.VM, s.Breaches)
 		}
 	}
-	for file := range w.logs {
+	for file := range w.logFiles {
 		content, _ := os.ReadFile(file)
 		for _, line := range strings.Split(string(content), "\n") {
 			if strings.Contains(line, "invariant breached") || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
-				w.tally.violate("%s: %s", filepath.Base(file), line)
+				w.results.addViolation("%s: %s", filepath.Base(file), line)
 			}
 		}
 	}
-	return checks + w.tally.checks
+	return checks + w.results.checks
 }
--- a/test/soak/results.go
+++ b/test/soak/results.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// tally counts what happened.
-type tally struct {
+// results counts the faults, requests and checks of a run and lists the violations.
+type results struct {
 	mu         sync.Mutex
 	faults     int
 	requests   int64
@@ -16,28 +16,30 @@
 	violations []string
 }
 
-// check counts a check and records a violation unless ok.
-func (t *tally) check(ok bool, format string, args ...any) {
-	t.mu.Lock()
-	t.checks++
-	t.mu.Unlock()
+// check counts a check and adds a violation unless ok.
+func (r *results) check(ok bool, format string, args ...any) {
+	r.mu.Lock()
+	r.checks++
+	r.mu.Unlock()
 	if !ok {
-		t.violate(format, args...)
+		r.addViolation(format, args...)
 	}
 }
 
-func (t *tally) violate(format string, args ...any) {
+// addViolation records a violation and prints it to standard error.
+func (r *results) addViolation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.violations = append(t.violations, text)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, text)
 	_, _ = fmt.Fprintln(os.Stderr, "violation:", text)
 }
 
-func (t *tally) request() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.requests++
+func (r *results) countRequest() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests++
 }
 
-func decode(text string, into any) { _ = json.Unmarshal([]byte(text), into) }
+// decode ignores errors: v keeps its zero value if a node did not answer.
+func decode(text string, v any) { _ = json.Unmarshal([]byte(text), v) }
