--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo shows the whole path on one machine: stand-ins for the platform and the endpoints, real
-// moorrund processes, the operators' command line and a caller.
+// Command demo runs a complete deployment on one machine: stand-ins for the platform and the endpoints, moorrund
+// processes, the operators' command line and a caller.
 package main
 
 import (
@@ -15,8 +15,8 @@
 )
 
 const (
-	groupsWanted = 4
-	settleLimit  = 20 * time.Second
+	groupCount   = 4
+	startTimeout = 20 * time.Second
 )
 
 func main() {
@@ -45,39 +45,39 @@
 		return err
 	}
 	defer l.Close()
-	if err := show(l); err != nil {
-		return fmt.Errorf("%w\n%s", err, logs(l))
+	if err := runDemo(l); err != nil {
+		return fmt.Errorf("%w\n%s", err, logTails(l))
 	}
 	if keep {
-		return stay(l)
+		return waitForInterrupt(l)
 	}
 	return nil
 }
 
-func show(l *lab.Lab) error {
+func runDemo(l *lab.Lab) error {
 	for _, n := range [][2]string{{"entry-1", "rvk-1"}, {"entry-2", "rvk-1"}, {"entry-3", "rvk-2"}} {
 		if _, err := l.StartNode(n[0], n[1]); err != nil {
 			return err
 		}
 	}
 	fmt.Printf("%d engine VMs and %d plain endpoints stand in; 3 moorrund processes run in 2 data centres\n\n", len(l.Engines), len(l.Plains))
-	if err := lab.Until(settleLimit, "an accepted configuration", func() bool {
+	if err := lab.Until(startTimeout, "an accepted configuration", func() bool {
 		out := l.CLI("apply", l.Files, "--wait")
 		if out.Code == 0 {
-			fmt.Printf("$ moorrun apply examples/gjafabru --wait\n%s\n", tail(out.Stdout))
+			fmt.Printf("$ moorrun apply examples/gjafabru --wait\n%s\n", lastLines(out.Stdout))
 		}
 		return out.Code == 0
 	}); err != nil {
 		return err
 	}
-	if err := l.UsableGroups(groupsWanted, settleLimit); err != nil {
+	if err := l.UsableGroups(groupCount, startTimeout); err != nil {
 		return err
 	}
-	address, err := which(l)
+	address, err := fetchAddress(l)
 	if err != nil {
 		return err
 	}
-	if err := call(address); err != nil {
+	if err := sendRequests(address); err != nil {
 		return err
 	}
 	fmt.Printf("$ moorrun status\n%s\n", l.CLI("status").Stdout)
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// tail returns the last two lines, which say how an apply ended.
-func tail(text string) string {
+// lastLines returns the last two lines of the output of apply, which contain its outcome.
+func lastLines(text string) string {
 	const lines = 2
 	end := len(text)
 	for i, n := end-1, 0; i >= 0; i-- {
@@ -99,11 +99,11 @@
 	return text
 }
 
-func which(l *lab.Lab) (string, error) {
+func fetchAddress(l *lab.Lab) (string, error) {
 	first := l.Nodes()[0].Settings.CallerAddress
 	answer, err := lab.NewCaller("").Which(first)
 	if err != nil || len(answer.Addresses) == 0 {
-		return "", errors.Join(errors.New("no address to use"), err)
+		return "", errors.Join(errors.New("/v1/which returned no address"), err)
 	}
 	fmt.Printf("$ curl http://%s/v1/which\n", first)
 	for _, a := range answer.Addresses {
@@ -113,7 +113,7 @@
 	return answer.Addresses[0].Address, nil
 }
 
-func call(address string) error {
+func sendRequests(address string) error {
 	donors := lab.NewCaller("donors-caller-token")
 	const prompt, tokens = "Dear-family", 12
 	fmt.Printf("$ curl http://%s/v1/completions ...\n", address)
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	for range 2 { // the second send must not run again
+	for range 2 { // the second call has the same key and must not run again
 		receipt := gifts.Plain(address, "POST", "/services/receipts/receipts", "receipt-1", prefix+"/receipt-1", "100 kr")
 		fmt.Printf("receipt, status %d, verdict %s: %s", receipt.Status, receipt.Verdict, receipt.Text)
 		if receipt.Status != 200 {
@@ -139,17 +139,17 @@
 	return nil
 }
 
-func logs(l *lab.Lab) string {
-	const most = 4000
+func logTails(l *lab.Lab) string {
+	const maxBytes = 4000
 	text := ""
 	for _, n := range l.Nodes() {
 		content, _ := os.ReadFile(n.Log)
-		text += n.Settings.VM + ":\n" + string(content[max(0, len(content)-most):]) + "\n"
+		text += n.Settings.VM + ":\n" + string(content[max(0, len(content)-maxBytes):]) + "\n"
 	}
 	return text
 }
 
-func stay(l *lab.Lab) error {
+func waitForInterrupt(l *lab.Lab) error {
 	n := l.Nodes()[0].Settings
 	fmt.Printf("Try:\n  curl http://%s/v1/which\n", n.CallerAddress)
 	fmt.Printf("  curl -N -H 'Authorization: Bearer donors-caller-token' -d '{\"model\":\"letters-70b\",\"prompt\":\"Hello\",\"stream\":true}' http://%s/v1/completions\n", n.CallerAddress)
--- a/test/slopes/main.go
+++ b/test/slopes/main.go
@@ -1,5 +1,5 @@
-// Command slopes measures how a node's control costs grow with nodes, engine VMs, revisions and demand, at
-// four sizes each, for docs/CAPACITY.md.
+// Command slopes measures how the cost of the control plane at a node grows with the number of nodes, engine VMs,
+// accepted changes and allocator reports, at four or five sizes each, for docs/CAPACITY.md.
 package main
 
 import (
@@ -16,8 +16,8 @@
 )
 
 const (
-	settle = 6 * time.Second
-	window = 8 * time.Second
+	settleTime  = 6 * time.Second
+	measureTime = 8 * time.Second
 )
 
 func main() {
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir) //nolint:errcheck // a temporary directory
-	// Entry VMs are small; with more processors than that, idle ones spin and are charged for it.
+	// Entry VMs have few cores. With a higher GOMAXPROCS, the spinning of idle processors would count as usage.
 	if err := os.Setenv("GOMAXPROCS", "2"); err != nil {
 		return err
 	}
@@ -43,49 +43,50 @@
 	fmt.Println("At rest: percent of a core, KB/s read and written, MB resident, for each node; two processors a process")
 	fmt.Printf("%6s %6s  %-8s %8s %8s %8s\n", "nodes", "VMs", "node", "core %", "KB/s", "MB")
 	for _, nodes := range []int{2, 4, 8, 16, 31} {
-		if err := atRest(dir, nodes, 16); err != nil {
+		if err := measureIdle(dir, nodes, 16); err != nil {
 			return err
 		}
 	}
 	for _, vms := range []int{64, 128, 256, 400} {
-		if err := atRest(dir, 4, vms); err != nil {
+		if err := measureIdle(dir, 4, vms); err != nil {
 			return err
 		}
 	}
 	fmt.Println("\nAccepted changes: processor milliseconds and KB for each, over all nodes")
 	for _, nodes := range []int{2, 4, 8, 16} {
-		if err := changes(dir, nodes); err != nil {
+		if err := measureChanges(dir, nodes); err != nil {
 			return err
 		}
 	}
 	fmt.Println("\nAllocator: microseconds a report, by nodes and groups, 5 workspaces each")
 	for _, nodes := range []int{8, 32, 64, 111} {
-		fmt.Printf("%6d nodes %6d groups %8.1f us\n", nodes, 4*nodes, report(nodes, 4*nodes))
+		fmt.Printf("%6d nodes %6d groups %8.1f us\n", nodes, 4*nodes, measureReport(nodes, 4*nodes))
 	}
 	return nil
 }
 
-// asShipped undoes the short terms that labs use.
-func asShipped(s *settings.Settings) {
+// setDefaultIntervals replaces the short intervals of labs by the default ones.
+func setDefaultIntervals(s *settings.Settings) {
 	s.HeartbeatMS, s.PollMS, s.EvidenceMS, s.LeaseTTLMS = 250, 500, 1900, 6000
 	s.LogLevel = "error"
 }
 
-// fleet starts that many nodes in one data centre with that many VMs in domains of 16.
-func fleet(dir string, nodes, vms int) (*lab.Lab, error) {
-	home, err := os.MkdirTemp(dir, "lab-")
+// startFleet starts a lab with the given numbers of nodes and engine VMs, in one data centre with fabric domains of
+// 16 VMs, and waits until all its replica groups are usable.
+func startFleet(dir string, nodes, vms int) (*lab.Lab, error) {
+	labDir, err := os.MkdirTemp(dir, "lab-")
 	if err != nil {
 		return nil, err
 	}
-	if err := writeConfig(filepath.Join(home, "in"), vms); err != nil {
+	if err := writeConfig(filepath.Join(labDir, "in"), vms); err != nil {
 		return nil, err
 	}
-	l, err := lab.New(lab.Options{Dir: home, Bin: dir, Config: filepath.Join(home, "in"), LoadsASecond: 1000, Load: 50 * time.Millisecond, TokenEvery: 10 * time.Millisecond})
+	l, err := lab.New(lab.Options{Dir: labDir, Bin: dir, Config: filepath.Join(labDir, "in"), LoadsASecond: 1000, Load: 50 * time.Millisecond, TokenEvery: 10 * time.Millisecond})
 	if err != nil {
 		return nil, err
 	}
 	for i := range nodes {
-		if _, err := l.StartNode(fmt.Sprintf("entry-%02d", i), "dc", asShipped); err != nil {
+		if _, err := l.StartNode(fmt.Sprintf("entry-%02d", i), "dc", setDefaultIntervals); err != nil {
 			l.Close()
 			return nil, err
 		}
@@ -129,19 +130,19 @@
 	return nil
 }
 
-// atRest prints what the busiest, the middle and the least busy node use without load.
-func atRest(dir string, nodes, vms int) error {
-	l, err := fleet(dir, nodes, vms)
+// measureIdle prints the usage without load of the busiest node and the mean over all nodes.
+func measureIdle(dir string, nodes, vms int) error {
+	l, err := startFleet(dir, nodes, vms)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	before := make(map[int]lab.Usage)
 	for _, n := range l.Nodes() {
 		before[n.PID()] = lab.UsageOf(n.PID())
 	}
-	time.Sleep(window)
+	time.Sleep(measureTime)
 	var busiest, sum lab.Usage
 	for _, n := range l.Nodes() {
 		u := lab.UsageOf(n.PID()).Since(before[n.PID()])
@@ -150,50 +151,51 @@
 			busiest = u
 		}
 	}
-	k := float64(len(before))
-	line(nodes, vms, "busiest", busiest)
-	line(nodes, vms, "mean", lab.Usage{CPUSeconds: sum.CPUSeconds / k, Bytes: sum.Bytes / k, MemoryMB: sum.MemoryMB / k})
+	count := float64(len(before))
+	printUsage(nodes, vms, "busiest", busiest)
+	printUsage(nodes, vms, "mean", lab.Usage{CPUSeconds: sum.CPUSeconds / count, Bytes: sum.Bytes / count, MemoryMB: sum.MemoryMB / count})
 	return nil
 }
 
-func line(nodes, vms int, name string, u lab.Usage) {
+func printUsage(nodes, vms int, name string, u lab.Usage) {
 	const kb = 1000
-	fmt.Printf("%6d %6d  %-8s %8.2f %8.1f %8.1f\n", nodes, vms, name, 100*u.CPUSeconds/window.Seconds(), u.Bytes/kb/window.Seconds(), u.MemoryMB)
+	fmt.Printf("%6d %6d  %-8s %8.2f %8.1f %8.1f\n", nodes, vms, name, 100*u.CPUSeconds/measureTime.Seconds(), u.Bytes/kb/measureTime.Seconds(), u.MemoryMB)
 }
 
-// changes prints what one accepted change costs the nodes, beyond what they use at rest.
-func changes(dir string, nodes int) error {
-	l, err := fleet(dir, nodes, 16)
+// measureChanges prints the mean usage of all nodes together for one accepted change, beyond their idle usage.
+func measureChanges(dir string, nodes int) error {
+	l, err := startFleet(dir, nodes, 16)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	total := func() (u lab.Usage) {
 		for _, n := range l.Nodes() {
-			one := lab.UsageOf(n.PID())
-			u.CPUSeconds, u.Bytes = u.CPUSeconds+one.CPUSeconds, u.Bytes+one.Bytes
+			usage := lab.UsageOf(n.PID())
+			u.CPUSeconds, u.Bytes = u.CPUSeconds+usage.CPUSeconds, u.Bytes+usage.Bytes
 		}
 		return u
 	}
 	start := total()
-	time.Sleep(window)
-	rest := total().Since(start)
+	time.Sleep(measureTime)
+	idle := total().Since(start)
 	const applies = 40
-	began := time.Now()
+	started := time.Now()
 	start = total()
 	for i := range applies {
-		if err := bump(l, i); err != nil {
+		if err := applyChange(l, i); err != nil {
 			return err
 		}
 	}
 	used := total().Since(start)
-	took := time.Since(began).Seconds() / window.Seconds()
-	fmt.Printf("%6d nodes %8.2f ms %8.1f KB\n", nodes, 1000*(used.CPUSeconds-took*rest.CPUSeconds)/applies, (used.Bytes-took*rest.Bytes)/1000/applies)
+	windows := time.Since(started).Seconds() / measureTime.Seconds()
+	fmt.Printf("%6d nodes %8.2f ms %8.1f KB\n", nodes, 1000*(used.CPUSeconds-windows*idle.CPUSeconds)/applies, (used.Bytes-windows*idle.Bytes)/1000/applies)
 	return nil
 }
 
-func bump(l *lab.Lab, i int) error {
+// applyChange applies the i-th change of the latency objective.
+func applyChange(l *lab.Lab, i int) error {
 	file := filepath.Join(l.Files, "w.json")
 	var w config.Workspace
 	content, err := os.ReadFile(file)
@@ -213,8 +215,9 @@
 	return nil
 }
 
-// report returns the microseconds of one node's report to a model's allocator, with every place wanted.
-func report(nodes, groups int) float64 {
+// measureReport returns the mean time in microseconds in which a model's allocator processes one node's report. The
+// demand exceeds the number of places, so all places are wanted.
+func measureReport(nodes, groups int) float64 {
 	now := time.Unix(1000, 0)
 	p := allocator.NewPool(now.Add(-time.Minute))
 	var list []allocator.Group
@@ -223,7 +226,7 @@
 	}
 	grants := make([]uint64, nodes)
 	const workspaces, rounds = 5, 20
-	ask := func(n int) {
+	sendReport := func(n int) {
 		p.SetGroups(list)
 		r := allocator.Report{VM: fmt.Sprint("n", n), Grant: grants[n]}
 		for w := range workspaces {
@@ -232,13 +235,13 @@
 		grants[n] = p.Report(r, func(string) int { return 1 }, nodes, now).Number
 	}
 	for n := range nodes {
-		ask(n)
+		sendReport(n)
 	}
-	began := time.Now()
+	started := time.Now()
 	for range rounds {
 		for n := range nodes {
-			ask(n)
+			sendReport(n)
 		}
 	}
-	return float64(time.Since(began).Microseconds()) / float64(rounds*nodes)
+	return float64(time.Since(started).Microseconds()) / float64(rounds*nodes)
 }
