--- a/internal/evidence/table.go
+++ b/internal/evidence/table.go
@@ -1,4 +1,4 @@
-// Package evidence stores the observations of replica groups, which say until when routers may use each group.
+// Package evidence stores the observations of replica groups. Each limits the time for which routers may use a group.
 //
 // A group without unexpired evidence is not used. Since evidence expires without any message, a group goes out of
 // use within the evidence lifetime after a member's last answer, whichever process has failed or is unreachable.
@@ -52,40 +52,40 @@
 // Put stores an observation unless a later one by the same observer is stored, and reports whether it changed the
 // table. Copies of one observation that arrived over different links are merged: each group gets the latest
 // expiry time, since each copy's is a safe bound.
-func (t *Table) Put(l Observation, now time.Time) bool {
-	s := t.shard(l.Domain)
+func (t *Table) Put(o Observation, now time.Time) bool {
+	s := t.shard(o.Domain)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.observations[l.Domain] == nil {
-		s.observations[l.Domain] = make(map[string]storedObservation)
+	if s.observations[o.Domain] == nil {
+		s.observations[o.Domain] = make(map[string]storedObservation)
 	}
-	held, ok := s.observations[l.Domain][l.Observer]
-	if ok && held.Sequence > l.Sequence {
+	held, ok := s.observations[o.Domain][o.Observer]
+	if ok && held.Sequence > o.Sequence {
 		return false
 	}
-	if ok && held.Sequence == l.Sequence && !mergeExpiries(&l, held.Observation) {
+	if ok && held.Sequence == o.Sequence && !mergeExpiries(&o, held.Observation) {
 		return false
 	}
 	t.mu.Lock()
 	t.sequence++
-	s.observations[l.Domain][l.Observer] = storedObservation{l, now, t.sequence}
+	s.observations[o.Domain][o.Observer] = storedObservation{o, now, t.sequence}
 	t.mu.Unlock()
 	return true
 }
 
-// mergeExpiries sets the expiry time of each group in l to the later of those in l and held. It reports whether
-// that of l was the later one for any group.
-func mergeExpiries(l *Observation, held Observation) bool {
-	if len(l.Groups) != len(held.Groups) {
+// mergeExpiries sets the expiry time of each group in o to the later of those in o and held. It reports whether
+// that of o was the later one for any group.
+func mergeExpiries(o *Observation, held Observation) bool {
+	if len(o.Groups) != len(held.Groups) {
 		return false
 	}
 	later := false
-	for i := range l.Groups {
+	for i := range o.Groups {
 		switch {
-		case l.Groups[i].Expires.After(held.Groups[i].Expires):
+		case o.Groups[i].Expires.After(held.Groups[i].Expires):
 			later = true
 		default:
-			l.Groups[i].Expires = held.Groups[i].Expires
+			o.Groups[i].Expires = held.Groups[i].Expires
 		}
 	}
 	return later
@@ -120,9 +120,9 @@
 		s := &t.shards[i]
 		s.mu.RLock()
 		for _, observers := range s.observations {
-			for _, l := range observers {
-				if l.sequence > sequence && l.sequence <= newest {
-					out = append(out, l.Observation)
+			for _, o := range observers {
+				if o.sequence > sequence && o.sequence <= newest {
+					out = append(out, o.Observation)
 				}
 			}
 		}
@@ -137,8 +137,8 @@
 		s := &t.shards[i]
 		s.mu.Lock()
 		for domain, observers := range s.observations {
-			for observer, l := range observers {
-				if now.Sub(l.stored) > retention {
+			for observer, o := range observers {
+				if now.Sub(o.stored) > retention {
 					delete(observers, observer)
 				}
 			}
--- a/internal/holder/keeper.go
+++ b/internal/holder/keeper.go
@@ -73,7 +73,7 @@
 	k.lease.Disclaimed(by)
 }
 
-// HeldElsewhere reports whether another node holds the lease, as far as this node knows.
+// HeldElsewhere reports whether another node holds the lease according to the version last seen.
 func (k *Keeper) HeldElsewhere(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/holder/pruner.go
+++ b/internal/holder/pruner.go
@@ -18,11 +18,11 @@
 const (
 	pruneInterval = 10 * time.Second
 	// pruneAfter is how long a registered node must be silent before its registration is removed. A node that
-	// is still running registers again when it sees the removal.
+	// is still running registers again when it detects the removal.
 	pruneAfter = 2 * time.Minute
 )
 
-// Pruner removes the registrations of nodes that have been silent for pruneAfter. It works while Active returns
+// Pruner removes the registrations of nodes that have been silent for pruneAfter. It runs while Active returns
 // true, that is, while this node holds a lease.
 type Pruner struct {
 	Active  func() bool
@@ -47,7 +47,7 @@
 
 func (p *Pruner) prune(ctx context.Context, now time.Time) {
 	for _, o := range p.Mirror.List(keys.Nodes) {
-		if p.heardRecently(o, now) {
+		if p.recentlyAlive(o, now) {
 			delete(p.silentSince, o.Key)
 			continue
 		}
@@ -64,9 +64,9 @@
 	}
 }
 
-// heardRecently reports whether the registered process, and not a later one on the same VM, has been heard
-// from within pruneAfter.
-func (p *Pruner) heardRecently(o infra.Object, now time.Time) bool {
+// recentlyAlive reports whether the registered process, and not a later one on the same VM, is known to have been
+// alive within pruneAfter.
+func (p *Pruner) recentlyAlive(o infra.Object, now time.Time) bool {
 	var registered membership.Member
 	if json.Unmarshal(o.Value, &registered) != nil {
 		return false
--- a/internal/holder/suspend_test.go
+++ b/internal/holder/suspend_test.go
@@ -12,7 +12,7 @@
 )
 
 // The monotonic clock does not advance while the VM is suspended. A holder suspended for longer than its lease
-// must not count on it after the resume, since another node may hold it by then.
+// must treat the lease as expired after the resume, since another node may hold it by then.
 func TestLeaseRunsOutWhileTheMachineIsSuspended(t *testing.T) {
 	var suspended atomic.Int64
 	defer clock.SetSuspendedForTest(func() time.Duration { return time.Duration(suspended.Load()) })()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -39,7 +39,7 @@
 }
 
 // Next returns the action that is due at now. For a Write it also returns the record to write and the object
-// version on which the write must be conditional. want says whether this process should hold the lease;
+// version on which the write must be conditional. want is true if this process should hold the lease;
 // operation is the ID given to a write.
 func (l *Lease) Next(now time.Time, want bool, operation string) (Action, Record, int64) {
 	if !l.known || len(l.inflight) > 0 {
@@ -137,9 +137,9 @@
 // Latest returns the version and the record of the object as last seen.
 func (l *Lease) Latest() (int64, Record) { return l.version, l.record }
 
-// dropExpiredWrites removes writes in flight that were sent more than the time to live ago: an answer is never
-// that late. While a write could still take effect, the object's version decides, because every write is
-// conditional on it.
+// dropExpiredWrites removes writes in flight that were sent more than the time to live ago, because no answer arrives
+// that late. If such a write takes effect after all, it changes the object's version, and the next write of this
+// process, which is conditional on the earlier version, is refused.
 func (l *Lease) dropExpiredWrites(at time.Time) {
 	for op, sent := range l.inflight {
 		if at.Sub(sent) > l.ttl {
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -47,9 +47,9 @@
 
 // New returns an Observer that polls each VM at the interval every. Its evidence for a group expires when
 // lifetime has passed since the oldest of the last answers of the group's VMs.
-func New(fleet *peer.Fleet, engine infra.Engine, book *domains.Book, current func() *config.Config, orphans *membership.Takeover, every, lifetime time.Duration) *Observer {
+func New(fleet *peer.Fleet, engine infra.Engine, book *domains.Book, current func() *config.Config, takeover *membership.Takeover, every, lifetime time.Duration) *Observer {
 	return &Observer{
-		fleet: fleet, engine: engine, book: book, config: current, orphans: orphans, pollInterval: every, evidenceLifetime: lifetime,
+		fleet: fleet, engine: engine, book: book, config: current, orphans: takeover, pollInterval: every, evidenceLifetime: lifetime,
 		watches: make(map[string]domainWatch),
 	}
 }
@@ -97,20 +97,20 @@
 		return nil
 	}
 	self := o.fleet.Members.Self(now)
-	guardians := make(map[string][]membership.Member)
+	actingNodes := make(map[string][]membership.Member)
 	out := make(map[string]time.Duration)
 	for name, d := range c.Domains() {
 		if c.Region(d.DataCentre) != c.Region(self.DataCentre) {
 			continue
 		}
-		if _, known := guardians[d.DataCentre]; !known {
-			guardians[d.DataCentre] = o.orphans.ActingNodes(d.DataCentre, now)
+		if _, known := actingNodes[d.DataCentre]; !known {
+			actingNodes[d.DataCentre] = o.orphans.ActingNodes(d.DataCentre, now)
 		}
 		purpose := "observe/" + name
 		if d.DataCentre != self.DataCentre {
 			purpose = "guard/" + d.DataCentre // the same ranking as for the lease, so that the node that decides also polls
 		}
-		ranked := membership.Rank(purpose, guardians[d.DataCentre])
+		ranked := membership.Rank(purpose, actingNodes[d.DataCentre])
 		for i, m := range ranked[:min(observersPerDomain, len(ranked))] {
 			if m.VM == self.VM {
 				out[name] = o.pollInterval + o.pollInterval/2*time.Duration(i)
--- a/internal/replica/drain.go
+++ b/internal/replica/drain.go
@@ -34,7 +34,7 @@
 	pl.recordChange(g.ID, "draining: %s", reason)
 }
 
-// dropSurplus drains groups of models that are no longer declared and groups that placement wants dropped.
+// dropSurplus drains groups of models that are no longer declared and the groups listed in View.Drop.
 func (pl *planner) dropSurplus() {
 	for _, g := range pl.next.Groups {
 		if _, declared := pl.view.Models[g.Model]; !declared {
--- a/internal/replica/may_roll.go
+++ b/internal/replica/may_roll.go
@@ -3,7 +3,7 @@
 import "moorrun.dev/moorrun/internal/config"
 
 // MayRoll reports whether g may be drained for a new version. This requires that all groups of its model are serving,
-// that at least one group less than the model's minimum remains, and that g is the outdated group with the
+// that without g the model is at most one group below its minimum, and that g is the outdated group with the
 // lowest id, so that the lease holders of two data centres do not drain one each. A model's only group may be
 // drained.
 func MayRoll(g *Group, m config.Model, assignments []*Assignment) bool {
--- a/internal/replica/repair.go
+++ b/internal/replica/repair.go
@@ -73,7 +73,7 @@
 
 // breakUpUnrepairable breaks up groups that lack spares where their VMs help other groups. Of several such groups,
 // the one with the fewest remaining VMs is broken up and its VMs repair the others. A single one is broken up if
-// this lets a wanted group form and worthBreakingUp approves.
+// this lets a wanted group form and worthBreakingUp returns true.
 func (pl *planner) breakUpUnrepairable(unrepaired []*Group) {
 	slices.SortStableFunc(unrepaired, func(a, b *Group) int { return len(pl.remainingVMs(b)) - len(pl.remainingVMs(a)) })
 	for len(unrepaired) > 1 {
@@ -104,8 +104,8 @@
 	return slices.DeleteFunc(slices.Clone(g.VMs), func(vm string) bool { return slices.Contains(lost, vm) })
 }
 
-// worthBreakingUp compares the cost of the accelerators that are idle while the group waits with the expected cost
-// of the downtime that waiting saves if the lost VM returns.
+// worthBreakingUp reports whether the accelerators that are idle while the group waits cost more than the downtime
+// that waiting is expected to save, which it does only if the lost VM returns.
 func (pl *planner) worthBreakingUp(g *Group) bool {
 	idle := 0
 	for _, vm := range pl.view.Domain.VMs {
