--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -12,7 +12,7 @@
 
 const (
 	reportTimeout  = time.Second
-	busyInterval   = 100 * time.Millisecond // between reports while requests run; the allocator may ask for a longer interval
+	busyInterval   = 100 * time.Millisecond // between reports while requests run; the allocator may request a longer interval
 	idleInterval   = time.Second            // between reports after idleAfter without requests, while places are still held
 	emptyInterval  = time.Hour              // while there is no demand and no place; the next request triggers a report
 	minReportGap   = 3 * time.Millisecond   // minimum between reports at busyInterval; grows with the interval
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -237,8 +237,8 @@
 	return w, p.take(q, w.avoid, now)
 }
 
-// report returns the demand of this node. waiting reports whether requests wait, which only a new grant can
-// help; busy reports whether any workspace has requests or had some recently.
+// report returns the demand of this node. waiting reports whether requests wait, which start only with a new grant
+// or when places become free; busy reports whether any workspace has requests or had some recently.
 func (p *pool) report(now time.Time) (r allocator.Report, waiting, busy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -303,14 +303,14 @@
 }
 
 // resetGrant clears the number of the last grant after a change of the allocator, so that the next report doesn't
-// confirm a grant of the old one.
+// confirm a grant of the previous allocator.
 func (p *pool) resetGrant() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grant = 0
 }
 
-// triggerReport makes the reporter send a report as soon as it may.
+// triggerReport makes the reporter send a report as soon as the minimum gap since the last one has passed.
 func (p *pool) triggerReport() {
 	select {
 	case p.reportNow <- struct{}{}:
--- a/internal/allocator/pool.go
+++ b/internal/allocator/pool.go
@@ -216,7 +216,7 @@
 }
 
 // Overcommitted returns a group of which more places are held than it has, for the invariant check. A group
-// whose places were lowered, or that has just come back, may be overcommitted for a while.
+// whose places were lowered, or that has just been listed again, may be overcommitted for a while.
 func (p *Pool) Overcommitted() (id string, held, places int, over bool) {
 	for _, key := range p.sortedGroups {
 		g := p.groups[key]
--- a/internal/allocator/pool_test.go
+++ b/internal/allocator/pool_test.go
@@ -107,7 +107,7 @@
 }
 
 // TestNoPlaceIsHeldTwiceWhenRepliesAreLost guards against granting more places than a group has when replies
-// are lost or a node's process is replaced, so that the allocator doesn't know which limits are in force.
+// are lost or a node's process is replaced, when the limits that a node applies can differ from those last granted.
 func TestNoPlaceIsHeldTwiceWhenRepliesAreLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -143,7 +143,7 @@
 	})
 }
 
-// runRounds lets the nodes report in turn. Requests start and finish between reports, so that places can move
+// runRounds lets the nodes report one after another. Requests start and finish between reports, so that places can move
 // between nodes and workspaces; more requests wait than there are places.
 func runRounds(pool *allocator.Pool, nodes []*entryNode, now time.Time, rounds int) {
 	for range rounds {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -13,7 +13,7 @@
 
 // correctVerdict changes the verdict "not run" for a request with a valid idempotency key to "may have run", unless
 // this process is the key's home and has no record of the key. An earlier send of the request may have run, and
-// only the key's home knows.
+// only the key's home has a record of it.
 func (s *Server) correctVerdict(ctx *fasthttp.RequestCtx, f *failure) {
 	text := ctx.Request.Header.Peek(keyHeader)
 	if f.verdict != verdict.NotRun || len(text) == 0 {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	// maxContactAge is how long a node accepts new requests without hearing from the platform or another node.
+	// maxContactAge is how long a node accepts new requests without contact with the platform or another node.
 	maxContactAge         = 3 * time.Second
 	maxRequestBodyBytes   = 4 << 20
 	maxRequestHeaderBytes = 16 << 10
--- a/internal/entry/stream_body.go
+++ b/internal/entry/stream_body.go
@@ -38,7 +38,7 @@
 	server  *Server
 	attempt *attempt
 	answer  *httpcall.Answer
-	marker  []byte // the stream is complete only after it; nil for an answer with a length
+	marker  []byte // end of a complete stream; nil for an answer with a length
 
 	timeoutSetAt time.Time       // when the read timeout was last set
 	tail         [tailBytes]byte // last bytes relayed
@@ -170,7 +170,7 @@
 	s, a := b.server, b.attempt
 	defer s.inflight.Add(-1)
 	_ = b.answer.Close()
-	if a.place != nil { // a resumed stream has no place of its own: it continues in the one it had
+	if a.place != nil { // nil for a resumed stream, whose place was granted to the node that started it
 		a.place.Release(b.completed)
 	}
 	if !b.completed && b.marker != nil {
@@ -188,7 +188,8 @@
 	s.Burn.Record(a.call.workspace, a.target.Model, outcome)
 }
 
-// cancelAtEngine stops the stream at the engine, unless its caller may still resume it on another node.
+// cancelAtEngine stops the stream at the engine. A stream whose entry VM is lost is not cancelled, so that the caller can
+// resume it through another node.
 func (b *streamBody) cancelAtEngine() {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Key is an idempotency key. It names its home, the only process that may run its request, so processes always
-// agree on the home, whatever each of them knows about the others.
+// Key is an idempotency key. It names its home, the only process that may run its request, so all processes
+// derive the same home from it, independent of their membership tables.
 //
 // Its text is VM/INCARNATION/STAMP/UNIQUE. The stamp is the time at which the home issued the prefix, in minutes
 // since the start of the home and on its own clock.
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -26,7 +26,7 @@
 	caller  *peer.Caller
 
 	mu            sync.Mutex
-	lastAllocator map[string]string // model → VM and incarnation of the allocator asked last
+	lastAllocator map[string]string // model → VM and incarnation of the allocator at the last call
 }
 
 // NewClient returns a Client. Pools that this node allocates are handled by server without a call.
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -72,10 +72,10 @@
 
 // NewServer returns a Server that has no pools yet.
 func NewServer(members *membership.Table, router *routing.Router, services *routing.Services, current func() *config.Config, checker *invariant.Checker) *Server {
-	now := liveSet{since: clock.Now()}
+	initial := liveSet{since: clock.Now()}
 	return &Server{
 		members: members, router: router, services: services, current: current, checker: checker, pools: make(map[string]*lockedPool),
-		regional: now, global: now,
+		regional: initial, global: initial,
 	}
 }
 
