--- a/internal/membership/rank.go
+++ b/internal/membership/rank.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders members by rendezvous hashing on purpose and VM. Nodes that know the same members compute the same order,
+// Rank orders members by rendezvous hashing on purpose and VM. Nodes with the same members compute the same order,
 // and adding or removing a member does not change the relative order of the others.
 func Rank(purpose string, members []Member) []Member {
 	type scored struct {
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// drainPropagationDelay is the time after which every node knows that this node is draining.
+	// drainPropagationDelay is the time within which the draining state of this node reaches every other node.
 	drainPropagationDelay = 2 * time.Second
 	// drainTimeout is the longest wait for requests in flight to complete at shutdown.
 	drainTimeout              = 10 * time.Minute
--- a/internal/node/managed_leases.go
+++ b/internal/node/managed_leases.go
@@ -16,7 +16,7 @@
 
 const leaseCheckInterval = 500 * time.Millisecond
 
-// leaseManager runs this node's participation in the leases of data centres in its region. The node contends for
+// leaseManager runs the keepers and controllers for the data centre leases of this node's region. The node contends for
 // the lease of its own data centre while it is a relay, and for those of data centres that have lost all their nodes.
 type leaseManager struct {
 	node          *Node
@@ -89,8 +89,8 @@
 	if c.Region(dataCentre) != c.Region(n.settings.DataCentre) {
 		return false
 	}
-	guardians := membership.Rank("guard/"+dataCentre, n.takeover.ActingNodes(dataCentre, now))
-	return len(guardians) > 0 && guardians[0].VM == n.settings.VM
+	acting := membership.Rank("guard/"+dataCentre, n.takeover.ActingNodes(dataCentre, now))
+	return len(acting) > 0 && acting[0].VM == n.settings.VM
 }
 
 // holdsAny reports whether this node holds the lease of any data centre.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// Run serves until ctx ends, then drains the node: address answers no longer name it, callers with an earlier
-// address answer are served until that answer expires, and requests in flight are completed.
+// Run serves until ctx ends, then drains the node: address lists no longer contain it, callers with a cached
+// address list are served until that list expires, and requests in flight are completed.
 func (n *Node) Run(ctx context.Context) error {
 	l := n.listeners
 	// The level is passed as a plain string, which the level filter does not recognize, so that this line is
--- a/internal/relay/links.go
+++ b/internal/relay/links.go
@@ -29,7 +29,7 @@
 	connectGrace = 600 * time.Millisecond
 	// redialAfter is the delay before a broken link is dialled again.
 	redialAfter = 500 * time.Millisecond
-	// releaseAfter is how long a link is kept after the last review that wanted it.
+	// releaseAfter is how long a link is kept after the last review that required it.
 	releaseAfter = 3 * time.Second
 )
 
@@ -52,7 +52,7 @@
 	cancel         context.CancelFunc
 	started        time.Time
 	aliveAt        time.Time // latest instant at which the relay is known to have been alive
-	lastWanted     time.Time // time of the last review that wanted the link
+	lastWanted     time.Time // time of the last review that required the link
 }
 
 // NewLinks returns Links without any link. The peer addresses in seeds are tried while no link is up.
@@ -155,7 +155,7 @@
 	return selfIsRelay
 }
 
-// ensureLink starts the link to address if there is none, marks it as wanted, and reports whether it is up or still
+// ensureLink starts the link to address if there is none, marks it as required, and reports whether it is up or still
 // within connectGrace.
 func (l *Links) ensureLink(ctx context.Context, address string, sameDataCentre bool, now time.Time) bool {
 	k, ok := l.links[address]
--- a/internal/relay/watcher.go
+++ b/internal/relay/watcher.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// watchWait is the longest duration of one watch call. It is shorter than a node may go without contact, so that a
-	// node without peers stays in contact through its watch calls alone.
+	// watchWait is the longest duration of one watch call. It is shorter than the time that a node may go without
+	// contact, so that a node without peers stays in contact through its watch calls alone.
 	watchWait = time.Second
 	// listEvery is the interval between full listings, which bounds how long a change missed by a watch goes unnoticed.
 	listEvery = 5 * time.Minute
@@ -33,8 +33,8 @@
 	logger  log.Logger
 }
 
-// NewWatcher returns a Watcher that reads objects, fills the mirror of fleet and asks links whether this node is a
-// relay.
+// NewWatcher returns a Watcher that copies state objects to the mirror of fleet. It watches for changes
+// while links.IsRelay returns true.
 func NewWatcher(objects infra.ObjectStore, fleet *peer.Fleet, links *Links, logger log.Logger) *Watcher {
 	return &Watcher{objects, fleet, links, logger}
 }
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -31,7 +31,7 @@
 //
 // It is the highest-ranked by rendezvous hashing over the model's usable groups. Every node computes the same group
 // without communication, so no cache events are needed, which arrive late and with gaps. When a group is added or
-// removed, only the prefixes that it gains or had move.
+// removed, only the prefixes that map to this group change their group.
 func (r *Router) Preferred(model, prompt string, now time.Time) allocator.Ref {
 	if len(prompt) < minPrefixBytes {
 		return allocator.Ref{}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -43,7 +43,7 @@
 	byModel map[string][]Target
 }
 
-// New returns a Router over the drains, the assignments, the evidence and the configuration that the node has.
+// New returns a Router that uses the node's drains, assignments, evidence and current configuration.
 func New(d *drains.Reader, assignmentBook *domains.Book, evidenceTable *evidence.Table, current func() *config.Config) *Router {
 	return &Router{drains: d, assignments: assignmentBook, evidence: evidenceTable, current: current, health: make(map[targetKey]*health)}
 }
--- a/internal/routing/services.go
+++ b/internal/routing/services.go
@@ -33,7 +33,7 @@
 	health map[string]*health // by endpoint name
 }
 
-// NewServices returns Services over the drains and the configuration that the node has.
+// NewServices returns Services that use the node's drains and current configuration.
 func NewServices(d *drains.Reader, current func() *config.Config) *Services {
 	return &Services{drains: d, current: current, health: make(map[string]*health)}
 }
@@ -84,7 +84,7 @@
 }
 
 // TakeSpeeds implements admission.Chooser. It returns nothing, because the calls of a plain service differ too much
-// for their durations to say which endpoint is faster.
+// for their durations to show which endpoint is faster.
 func (s *Services) TakeSpeeds(string, time.Time) []allocator.Speed { return nil }
 
 // RecordSuccess records that the endpoint has answered.
