--- a/internal/accept/store.go
+++ b/internal/accept/store.go
@@ -306,7 +306,7 @@
 // fails to delete takes up space but does no other harm.
 func (a *attempt) deleteUnreferenced(ctx context.Context, old, accepted *Head) {
 	for name, ref := range old.Parts {
-		if now, ok := accepted.Parts[name]; ok && now.Key == ref.Key {
+		if current, ok := accepted.Parts[name]; ok && current.Key == ref.Key {
 			continue
 		}
 		a.remove(ctx, ref.Key)
--- a/internal/eventlog/decisions.go
+++ b/internal/eventlog/decisions.go
@@ -12,7 +12,7 @@
 
 // Limits bound how many decisions on requests are logged.
 type Limits struct {
-	SampleOneIn int     // one of so many requests is sampled, by a hash of the ID: all nodes sample the same IDs
+	SampleOneIn int     // one in this many requests is sampled, by a hash of the ID, so that all nodes sample the same IDs
 	Failures    float64 // lines per second for notable requests that are not sampled
 }
 
--- a/internal/httpcall/answer.go
+++ b/internal/httpcall/answer.go
@@ -9,8 +9,9 @@
 )
 
 // silentTimeout is how long a call on a reused connection may receive nothing; if it is closed after a longer wait, the other
-// idle connections to the address are closed as well. All connections to an address may go silent for good at once, without a reset; otherwise each of
-// them would cost a request its whole timeout. The price is some new connections to an endpoint that is merely slow.
+// idle connections to the address are closed as well. All connections to an address may stop responding permanently at the
+// same time, without a reset; otherwise each of them would cost a request its whole timeout. The price is some new connections
+// to an endpoint that is merely slow.
 const silentTimeout = 300 * time.Millisecond
 
 // Answer is one HTTP response and the connection it arrives on. It must be closed.
--- a/internal/httpcall/cancel_test.go
+++ b/internal/httpcall/cancel_test.go
@@ -15,8 +15,8 @@
 // waitLimit bounds waits that are long only if the code under test is faulty.
 const waitLimit = 10 * time.Second
 
-// Guards against an endpoint that works on until the route's timeout after its caller has disconnected. The end of the call's
-// context sets the connection's deadline to the past; a wait that began at that moment set it to the future again.
+// Guards against an endpoint that keeps working until the route's timeout after its caller has disconnected. The end of the
+// call's context sets the connection's deadline to the past; a wait that began at that moment overwrote it with a later one.
 func TestAwaitEndsIfTheCallIsAlreadyCancelled(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/inforce/tracker.go
+++ b/internal/inforce/tracker.go
@@ -1,5 +1,5 @@
-// Package inforce maintains the configuration in force at this node: the highest accepted revision that the node has
-// learned of and could fetch completely.
+// Package inforce maintains the configuration in force at this node: the highest accepted revision whose head has
+// reached the node and whose parts it could fetch completely.
 package inforce
 
 import (
@@ -93,7 +93,7 @@
 		_ = level.Error(t.logger).Log("msg", "cannot decode the configuration head, keeping the current configuration", "err", err)
 		return true
 	}
-	if now := t.Current(); now != nil && head.Revision <= now.Revision {
+	if current := t.Current(); current != nil && head.Revision <= current.Revision {
 		return true
 	}
 	set, ok := t.assemble(ctx, head)
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -16,8 +16,8 @@
 	MayHaveRun
 )
 
-// Header is the HTTP response header that tells the caller the verdict on its request, also with every refusal
-// and failure.
+// Header is the HTTP response header that carries the verdict on a request. It is set on every refusal and failure,
+// too.
 const Header = "X-Moorrun-Verdict"
 
 // String returns the wire form of v: "not-run", "ran" or "may-have-run".
