--- a/internal/formation/busy_test.go
+++ b/internal/formation/busy_test.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// newSettledPlanner returns a planner that has led for long enough to order loads and conversions and knows the demand.
+// newSettledPlanner returns a planner whose tenure is old enough to order loads and conversions and whose moving average
+// of the demand has settled.
 func (s *fleetListing) newSettledPlanner() *Planner {
 	p := NewPlanner(2, origin)
 	s.now = origin.Add(2 * firstLoadDelay)
--- a/internal/formation/candidate.go
+++ b/internal/formation/candidate.go
@@ -9,8 +9,8 @@
 	"moorrun.dev/moorrun/internal/route"
 )
 
-// evictionPressureRatio is how many times the pressure of another model a model's own pressure has to be before its
-// group may cost that model the ability to form one of its own. The margin keeps groups from switching back and forth.
+// evictionPressureRatio is the minimum ratio of a model's pressure to that of another model for a group of the first to
+// be formed at the cost of a group of the second. The margin keeps groups from switching back and forth.
 const evictionPressureRatio = 1.5
 
 // candidate is a replica group that could be formed from free endpoints.
@@ -80,7 +80,7 @@
 
 // worthForming adds up what the candidate costs the other models and reports whether it may be formed in spite of that.
 // Each model that could form fewer groups must stay at or below its target utilisation with the groups that it could
-// still have, or m must be under far more pressure than that model would be.
+// still have, or the pressure of m must be at least evictionPressureRatio times the pressure of that model then.
 func (p *Planner) worthForming(v *View, copiesByModel modelCopies, have map[string]int, m route.Model, c *candidate) bool {
 	need := p.pressure(v, m, have)
 	for _, other := range v.Service.Engine.Models {
@@ -105,7 +105,7 @@
 
 // fit returns the best members for a group of the model, or nil if there are too few. Members that evict no model come
 // first, then those that could serve no other model, then those ready soonest. While requests arrive, endpoints that
-// would first have to load the model from the weight store are not considered; before the first request loads are fast.
+// would first have to load the model from the weight store are not considered; before the first request, loads are fast.
 func (p *Planner) fit(v *View, free []*endpoint.Endpoint, m route.Model) []*endpoint.Endpoint {
 	var eligible []*endpoint.Endpoint
 	for _, e := range free {
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -28,12 +28,12 @@
 	probeInterval = 250 * time.Millisecond
 	probeTimeout  = 300 * time.Millisecond
 	// peerProbeDelay is the time without an answer after which the other nodes are asked too: live endpoints answer
-	// within some ten milliseconds. A lost member is detected 200 ms sooner than if they were asked only after
+	// within about ten milliseconds. A lost member is detected 200 ms sooner than if they were asked only after
 	// probeTimeout.
 	peerProbeDelay = 80 * time.Millisecond
 	orderTimeout   = 700 * time.Millisecond
 	// maxConcurrentOrders and maxConcurrentProbes limit the orders and probes in progress. The leader of a starting
-	// fleet has an order for every endpoint, and a new leader a probe. If thousands start at once all are late, and so
+	// fleet sends an order to every endpoint, and a new leader a probe. If thousands start at once, all are late, and so
 	// is the renewal of the lease, which competes with them for the processor.
 	maxConcurrentOrders = 128
 	maxConcurrentProbes = 128
@@ -233,7 +233,8 @@
 	}
 }
 
-// startProbe starts a probe of the endpoint unless one is in progress, a recent one was sent or the limit is reached.
+// startProbe starts a probe of the endpoint. It does nothing if the endpoint is unknown or was found to be absent from its
+// address, if a probe of it is in progress or recent, or if the limit is reached.
 func (c *Controller) startProbe(ctx context.Context, snapshot *endpoint.Snapshot, id string, now time.Time) {
 	k := c.contacts[id]
 	if k == nil {
@@ -278,7 +279,7 @@
 }
 
 // probeWithPeers probes an endpoint and, if the answer is late, asks the other nodes whether they can reach it. unheard
-// reports that neither this node nor any node asked could.
+// reports that neither this node nor any of the nodes asked could reach it.
 func (c *Controller) probeWithPeers(ctx context.Context, e *endpoint.Endpoint) (answer ProbeResult, unheard bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -294,7 +295,7 @@
 }
 
 // recordUnheard records whether the nodes asked could not reach the endpoint either. In a large fleet each probe asks
-// different nodes, so one that can reach the endpoint restarts the wait.
+// different nodes; whenever one of them can reach the endpoint, the wait restarts.
 func (k *contact) recordUnheard(unheard bool, at time.Time) {
 	switch {
 	case !unheard:
--- a/internal/formation/controller_test.go
+++ b/internal/formation/controller_test.go
@@ -153,7 +153,7 @@
 	return Accepted
 }
 
-// The leader of a starting fleet has an order for every endpoint, and a new leader a probe. Only a limited number run
+// The leader of a starting fleet sends an order to every endpoint, and a new leader a probe. Only a limited number run
 // at once, and all complete.
 func TestConcurrentOrdersAndProbesAreBounded(t *testing.T) {
 	const endpoints = 1000
--- a/internal/formation/convert.go
+++ b/internal/formation/convert.go
@@ -21,7 +21,7 @@
 	// limits the pressure of that other model afterwards, as a fraction of the first model's pressure. When both are
 	// under pressure, a group that switches back and forth serves neither for two seconds each time. The limit may be
 	// exceeded as long as the donor stays below the recipient's new pressure: where a group of sixteen has lost one
-	// member, four endpoints of the other model make the fifteen that are left serve again.
+	// member, the fifteen that are left can serve again with four endpoints of the other model.
 	conversionPressure = 0.55
 	donorPressureRatio = 0.75
 	// reservationDuration is how long the free endpoints of a domain are reserved for the model that they were freed
--- a/internal/formation/reach.go
+++ b/internal/formation/domain_selection.go
@@ -13,7 +13,7 @@
 )
 
 // conversionMargin is the ratio of endpoints that have a second model to endpoints that conversions could use during
-// one load. Conversions should end groups with few requests, so there has to be a choice.
+// one load. Conversions end the groups with the fewest requests, so they need more groups to choose from than they end.
 const conversionMargin = 2
 
 // convertibleEndpoints returns how many group members should have a second model while no model is in need. Conversions
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// gatherQuietPeriod is how long the number of endpoints must not have changed before the first groups are formed,
-	// if no request has come; gatherTimeout limits the wait.
+	// gatherQuietPeriod is how long the number of endpoints must have been constant before the first groups are formed,
+	// unless a request has arrived; gatherTimeout limits the wait.
 	gatherQuietPeriod = 900 * time.Millisecond
 	gatherTimeout     = 5 * time.Second
 	// staleMemberDelay is how long after the end of its group a free endpoint is ordered to leave it, and
@@ -34,7 +34,7 @@
 	p.convert(v, free, have)
 }
 
-// clearStaleMembers orders endpoints that stay free to leave groups that have ended. A later leader does not know that
+// clearStaleMembers orders endpoints that stay free to leave groups that have ended. A later leader has no record that
 // the group has ended and would otherwise have to wait for its head.
 func (p *Planner) clearStaleMembers(v *View, free map[string][]*endpoint.Endpoint) {
 	for _, list := range free {
--- a/internal/formation/need.go
+++ b/internal/formation/need.go
@@ -30,7 +30,7 @@
 
 // prefillGroupsNeeded returns the least number of groups, as a fraction, that can read (prefill) prompts of that mix within the
 // model's objective, or 0 if that cannot be predicted. A model with long prompts and short answers has few running
-// requests and yet needs many groups: when only request slots were counted, two groups of sixteen endpoints were
+// requests but needs many groups: when only request slots were counted, two groups of sixteen endpoints were
 // considered enough where a third of the answers were late.
 func prefillGroupsNeeded(e *route.Engine, m route.Model, mix engine.Mix) float64 {
 	group := engine.Model{Figures: e.Figures, Pace: m.Pace, Writers: targetUtilisation * float64(e.Slots)}
@@ -43,7 +43,7 @@
 
 // pressure is the number of groups that a model needs divided by the number that it has; have counts endpoints by
 // model. It needs enough groups to give every request a slot, including waiting ones, and to read the prompts within
-// the objective. Above 1 requests wait or are late.
+// the objective. Above 1, requests wait or are late.
 func (p *Planner) pressure(v *View, m route.Model, have map[string]int) float64 {
 	groups := float64(have[m.Name]) / float64(max(1, m.Size))
 	if groups == 0 {
--- a/internal/formation/planner.go
+++ b/internal/formation/planner.go
@@ -17,7 +17,7 @@
 const (
 	// maxGroupsPerTenure is the number of group epochs reserved for one tenure.
 	maxGroupsPerTenure = 1 << 20
-	// endedGroupRetention is how long ended groups are remembered.
+	// endedGroupRetention is the minimum time for which the record of an ended group is kept.
 	endedGroupRetention = 2 * time.Minute
 	// lostGroupRetention is how long a group that has lost a member is reported to the other nodes.
 	lostGroupRetention = 3 * time.Second
--- a/internal/formation/spare.go
+++ b/internal/formation/spare.go
@@ -83,7 +83,8 @@
 
 // spareModel returns the model that one more spare of a domain should have: the one for which the loss of a member
 // idles the most other members, weighted by the number of members and divided among the spares that have the model.
-// With one model for all spares of a domain, every loss of another model's member had to wait 12 s or more for a load.
+// With one model for all spares of a domain, the replacement of another model's lost member always had to wait 12 s or
+// more for a load.
 func spareModel(v *View, members, spares map[string]int) (best route.Model, found bool) {
 	most := 0.0
 	for _, m := range v.Service.Engine.Models {
--- a/internal/formation/stage.go
+++ b/internal/formation/stage.go
@@ -25,9 +25,10 @@
 	until time.Time // when it should have ended
 }
 
-// stageModels loads models onto hosts. Before the first request it stages a second model for the endpoints that
-// conversions can use, so that they can soon serve either. Later it stages what a domain lacks for a group of a model
-// in need, then a first model for free endpoints without one, and then a second model for endpoints that have only one.
+// stageModels loads models onto hosts. Before the first request it stages a first model for free endpoints without one,
+// and a second model for the endpoints that conversions can use, so that they can soon serve either. Later it stages what
+// a domain lacks for a group of a model in need, then a first model for free endpoints without one, and then a second
+// model for endpoints that have only one.
 func (p *Planner) stageModels(v *View) {
 	if !v.Busy {
 		p.updateStagings(v)
--- a/internal/formation/view.go
+++ b/internal/formation/view.go
@@ -20,7 +20,7 @@
 	Loads         map[string]int        // requests of all nodes, by endpoint ID of the head
 	Demand        map[string]int        // running and waiting requests of all nodes, by model
 	Mixes         map[string]engine.Mix // request mix of all nodes, by model
-	SuspectGroups map[string]bool       // groups that some node sees make no progress
+	SuspectGroups map[string]bool       // groups that some node reports as making no progress
 	Busy          bool                  // callers have begun to send requests
 }
 
@@ -35,7 +35,7 @@
 
 const (
 	// downAfter is how long an endpoint must fail to answer before it counts as down; within that time a single lost
-	// packet is retransmitted. For a member of a suspected group suspectDownAfter applies, which is one missed answer.
+	// packet is retransmitted. For a member of a suspected group suspectDownAfter applies, the time of one missed answer.
 	downAfter        = 900 * time.Millisecond
 	suspectDownAfter = 250 * time.Millisecond
 	// deadAfter is how long an endpoint that is no longer listed must be unreachable for all nodes before it counts as
@@ -43,7 +43,7 @@
 	deadAfter = 1200 * time.Millisecond
 	// entryExpiryWrites is the number of missed writes after which the platform removes an endpoint's entry.
 	entryExpiryWrites = 3
-	// entryExpirySlack is the additional time until the removal is known here. Package follow holds removals back after
+	// entryExpirySlack is the additional time until the removal reaches this node. Package follow holds removals back after
 	// an outage of the store, and part of the outage falls into the same time.
 	entryExpirySlack = 1400 * time.Millisecond
 	// maxDrainTime is how long an endpoint that leaves may serve its remaining requests after it has stopped listening.
@@ -105,7 +105,7 @@
 	return !v.CurrentSince.IsZero() && v.Now.Sub(v.CurrentSince) >= entryExpiryWrites*v.WriteInterval+entryExpirySlack
 }
 
-// answeredWithin reports whether the last probe was answered, and no longer ago than that.
+// answeredWithin reports whether the last probe was answered, and no longer ago than within.
 func (v *View) answeredWithin(id string, within time.Duration) bool {
 	c, ok := v.Contacts[id]
 	return ok && c.FailedSince.IsZero() && v.Now.Sub(c.LastAnswer) <= within
