--- a/internal/gossip/caller.go
+++ b/internal/gossip/caller.go
@@ -26,7 +26,7 @@
 // Dial opens a connection to another node's peer address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// DialTCP is a Dial that uses TCP and gives up after dialTimeout.
+// DialTCP is a Dial that uses TCP and a timeout of dialTimeout.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	return d.DialContext(ctx, "tcp", address)
--- a/internal/gossip/convert.go
+++ b/internal/gossip/convert.go
@@ -7,7 +7,7 @@
 	"moorrun.dev/moorrun/internal/gossip/gossippb"
 )
 
-// maxSuspects is how many suspected replica groups one beat names at most.
+// maxSuspects is the maximum number of suspected replica groups in one beat.
 const maxSuspects = 20
 
 // toWire encodes a node's identity and status as a beat; times become ages as of now.
--- a/internal/gossip/sight_test.go
+++ b/internal/gossip/lost_contact_test.go
@@ -11,7 +11,7 @@
 // Guards against declaring a group's head dead while it still serves. Packets to and from its data centre passed one way
 // only, so no node elsewhere heard the head, and the nodes of that data centre, which did hear it, could not be asked.
 // The members of its group then joined other groups.
-func TestDataCentreWhoseNodesAreNotHeardIsOutOfSight(t *testing.T) {
+func TestContactIsLostWithADataCentreWhoseNodesAreNotHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLargeFleet(15)
 		qt.Check(t, f.awaitSettled(14), qt.IsTrue)
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -31,8 +31,8 @@
 	// LivenessTimeout is how long a node counts as live after it was last heard.
 	LivenessTimeout = 800 * time.Millisecond
 	// idleInterval and idleStandbyInterval are the intervals at which a node without requests sends beats to its first and
-	// second relay. It needs to know only the fleet's members and the age of its configuration, which may be that old, and
-	// its traffic falls to a fifth.
+	// second relay. Such a node needs only the fleet's members and the age of its configuration, which may both be that
+	// old, and its traffic falls to a fifth.
 	idleInterval        = 500 * time.Millisecond
 	idleStandbyInterval = time.Second
 	// idleLivenessTimeout is how long an idle node and its relays count as live to each other after they were last heard.
@@ -43,7 +43,7 @@
 	standbyInterval = 300 * time.Millisecond
 	// relayRetryDelay is how long after its first unanswered beat an unresponsive relay is tried again.
 	relayRetryDelay = 4 * time.Second
-	// contactExpiry is how long a node that does not answer is remembered.
+	// contactExpiry is how long the state of a node that does not answer is kept.
 	contactExpiry = 40 * time.Second
 	// rosterExpiry is how long a roster is kept after the last live node stopped using it.
 	rosterExpiry = 2 * time.Second
@@ -204,8 +204,8 @@
 
 // sampleKnownNodes returns up to maxKnownPerBeat live nodes to list in a beat. In a large fleet these are relays, so that
 // all nodes soon agree on the relays, and one random live node. The random one is needed because a node that knows no more
-// than SmallFleet nodes considers itself a relay and reports to nobody: if only relays were listed to it, it would never
-// learn of the other nodes.
+// than SmallFleet nodes considers itself a relay and reports to no other: if the beats that it receives listed only relays,
+// it would never discover the other nodes.
 func (n *Node) sampleKnownNodes(now time.Time) []*gossippb.KnownNode {
 	var out []*gossippb.KnownNode
 	add := func(p *Peer) { out = append(out, &gossippb.KnownNode{Vm: p.VM, GossipAddress: p.GossipAddress}) }
--- a/internal/gossip/partial_view.go
+++ b/internal/gossip/partial_view.go
@@ -77,9 +77,9 @@
 	return out
 }
 
-// isOutdatedBy reports whether p differs from the partial view in a way that receivers of the view must learn at once:
+// isOutdatedBy reports whether p differs from the partial view in a way that receivers of the view must be sent at once:
 // a node of the view leaves, starts or stops serving or has another leader epoch, or a node outside the view leads.
 func (v *partialView) isOutdatedBy(p *Peer) bool {
-	told, known := v.statuses[p.VM]
-	return known && (told.Leaving != p.Leaving || told.Serving != p.Serving || told.LeaderEpoch != p.LeaderEpoch) || !known && p.LeaderEpoch > 0
+	listed, known := v.statuses[p.VM]
+	return known && (listed.Leaving != p.Leaving || listed.Serving != p.Serving || listed.LeaderEpoch != p.LeaderEpoch) || !known && p.LeaderEpoch > 0
 }
--- a/internal/gossip/quarantine.go
+++ b/internal/gossip/quarantine.go
@@ -53,7 +53,7 @@
 	return true
 }
 
-// needsChangeFrom reports whether a change that this node has learnt from the given source has to be sent to the contact.
+// needsChangeFrom reports whether a change that this node has received from the given source has to be sent to the contact.
 // This node's own findings go to all contacts. Otherwise relays receive changes from each other, and another node receives
 // them from the relay that it reports to.
 func (c *contact) needsChangeFrom(from quarantine.Source) bool {
@@ -72,7 +72,7 @@
 }
 
 // mergeQuarantine merges a beat's records of suspected requests into this node's table and reports whether a request is
-// held back as a result that was not before. sameProcess says that the contact's previous beat came from the same
+// held back as a result that was not before. sameProcess is set if the contact's previous beat came from the same
 // incarnation.
 func (n *Node) mergeQuarantine(c *contact, b *gossippb.Beat, sameProcess bool, asOf, now time.Time) bool {
 	if n.Quarantine == nil {
--- a/internal/gossip/quarantine_test.go
+++ b/internal/gossip/quarantine_test.go
@@ -20,8 +20,8 @@
 	endingSeconds = 10
 	// maxBytesPerEnding bounds the bytes that a node sends because of one ending, at about twice the measured value.
 	maxBytesPerEnding = 3000
-	// maxPropagationTime bounds the time until every node knows of a third ending. Idle nodes report, and therefore get
-	// replies, only every 0.5 s.
+	// maxPropagationTime bounds the time until every node has the record of a third ending. Idle nodes report, and therefore
+	// get replies, only every 0.5 s.
 	maxPropagationTime = 2 * time.Second
 )
 
@@ -102,8 +102,8 @@
 	}
 }
 
-// Guards against nodes not learning in time of a request that ended three endpoints: reachable nodes at once, and nodes
-// that were unreachable meanwhile after they become reachable again. A restarted process receives all records.
+// Guards against nodes not receiving the records of a request that ended three endpoints in time: reachable nodes at once,
+// and nodes that were unreachable meanwhile after they become reachable again. A restarted process receives all records.
 func TestHeldRequestIsKnownToAllNodesSoon(t *testing.T) {
 	for _, size := range []int{9, 30, 100, 300} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
@@ -130,7 +130,8 @@
 	}
 }
 
-// Guards against two relays that do not hear each other missing each other's findings: they must learn them from a third.
+// Guards against two relays that do not hear each other missing each other's findings: they must receive them through a
+// third.
 func TestRelaysThatDoNotHearEachOtherAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLargeFleet(9)
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -106,8 +106,8 @@
 }
 
 // namesNewUnusableGroup reports whether a beat names a replica group that must not get any more requests and that the
-// sender's previous beat did not name. This is urgent: a node that learns a tenth of a second later that a group has lost
-// a member sends a few more requests to it.
+// sender's previous beat did not name. This is urgent: a node that is notified a tenth of a second later that a group
+// has lost a member sends a few more requests to it.
 func namesNewUnusableGroup(s *Status, b *gossippb.Beat) bool {
 	isNew := func(group string) bool { return !slices.Contains(s.Lost, group) && !slices.Contains(s.Retiring, group) }
 	return slices.ContainsFunc(b.Lost, isNew) || slices.ContainsFunc(b.Retiring, isNew) ||
--- a/internal/gossip/receive_test.go
+++ b/internal/gossip/receive_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-func TestRelayPassesOnAtOnceWhatANodeSaysButNotThatItHasAppeared(t *testing.T) {
-	// Each of 68 nodes that start together appears to every other. Passing that on at once caused 440 MB of traffic.
+func TestRelayForwardsUrgentChangesAtOnceButNotNewNodes(t *testing.T) {
+	// When 68 nodes start together, each of them is new to all others. Passing that on at once caused 440 MB of traffic.
 	now := time.Now()
 	n := NewNode(Identity{VM: "a", GossipAddress: "127.0.0.1:1"}, nil, nil)
 	n.relaying = true
@@ -47,7 +47,7 @@
 
 // Guards against each request to a rate-limited endpoint making every node of a small fleet send an urgent beat to all
 // others.
-func TestRelayPassesOnAtOnceALimitThatIsNewButNotWhoSendsToTheEndpoint(t *testing.T) {
+func TestRelayForwardsNewLimitsAtOnceButNotRequestCounts(t *testing.T) {
 	now := time.Now()
 	n := NewNode(Identity{VM: "a", GossipAddress: "127.0.0.1:1"}, nil, nil)
 	n.relaying = true
--- a/internal/gossip/relay.go
+++ b/internal/gossip/relay.go
@@ -55,8 +55,8 @@
 
 // strays returns up to maxStraysPerRound contacts, other than the excluded ones, that are due for a beat: contacts that no
 // node hears, likely relays first, and, if this node is a relay, nodes that act as relays without having been selected. A
-// node that nobody hears may have restarted and know no other node. The number is limited because while a large fleet
-// starts each node knows all addresses and hears none: with beats to all of them 295 nodes sent 490 MB in two seconds.
+// node that no other hears may have restarted without any contacts. The number is limited because while a large fleet starts,
+// each node has all addresses and hears none: with beats to all of them 295 nodes sent 490 MB in two seconds.
 func (n *Node) strays(now time.Time, urgent bool, excluded map[*contact]bool) []*contact {
 	heard := make(map[string]bool)
 	for _, p := range n.live(now) {
@@ -115,9 +115,8 @@
 }
 
 // reply answers a beat. A subscriber gets the totals of the whole fleet. Another node gets a beat at most every
-// unresponsiveInterval/2, from which it learns of the relays. Relays do not reply to each other, because they exchange
-// beats in their regular rounds; a relay that sends to a node that is none has just started and knows no other node, so it
-// does get a reply.
+// unresponsiveInterval/2, which lists relays. Relays do not reply to each other, because they exchange beats in their regular
+// rounds; a relay that sends to a node that is none has just started and has not discovered others, so it does get a reply.
 func (n *Node) reply(b *gossippb.Beat, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/relays.go
+++ b/internal/gossip/relays.go
@@ -28,7 +28,8 @@
 	return max(minRelays, int(math.Ceil(relaysPerSqrtNode*math.Sqrt(float64(nodes)))))
 }
 
-// selectRelays returns the nodes that should be relays: the leader, then the largest nodes of the data centres in turn.
+// selectRelays returns the nodes that should be relays: the leader, then the largest node of each data centre, then the
+// second largest of each, and so on.
 // size is the number of nodes in the fleet, of which the given nodes are the largest. Nodes that know different parts of
 // the fleet may select different relays; this is harmless, since any node that others report to acts as a relay.
 func selectRelays(nodes []*Peer, size int) []*Peer {
--- a/internal/gossip/relays_test.go
+++ b/internal/gossip/relays_test.go
@@ -120,7 +120,7 @@
 	f.awaitConverged(left)
 }
 
-func TestNodesAreToldOfOthersThanRelays(t *testing.T) {
+func TestBeatsListOtherNodesThanRelays(t *testing.T) {
 	n := newTestNode(t, 0, func(time.Time) Status { return Status{} })
 	now := time.Now()
 	for i := range SmallFleet {
@@ -132,13 +132,13 @@
 		}
 	}
 	n.liveListStale = true
-	told := make(map[string]bool)
+	listed := make(map[string]bool)
 	for range 1000 {
 		for _, k := range n.sampleKnownNodes(now) {
-			told[k.Vm] = true
+			listed[k.Vm] = true
 		}
 	}
-	qt.Check(t, told, qt.HasLen, SmallFleet)
+	qt.Check(t, listed, qt.HasLen, SmallFleet)
 }
 
 func TestRelaysGrowWithTheRootOfTheFleet(t *testing.T) {
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -27,7 +27,7 @@
 	if n.upstream(now) != nil {
 		return
 	}
-	for _, c := range n.strays(now, urgent, subscribedContacts) { // no relay answers, so any other node may know more
+	for _, c := range n.strays(now, urgent, subscribedContacts) { // no relay answers; the reply of any other node may list live ones
 		n.writeBeat(c, now, StrayBeat, common, &gossippb.Beat{})
 	}
 }
--- a/internal/gossip/size_test.go
+++ b/internal/gossip/size_test.go
@@ -17,11 +17,11 @@
 	// busyNodesPerDataCentre is the number of nodes of each data centre that have requests.
 	busyNodesPerDataCentre = 8
 	// nodesPerRegistrar is the number of nodes per registrar. Registrars are the nodes that have registered in the store, so
-	// that others learn of them when they start.
+	// that others find them when they start.
 	nodesPerRegistrar = 8
 	// groupsInUse is the number of replica groups whose heads have requests.
 	groupsInUse = 120
-	// registrarDelay is the time from the start of a node until it knows the registrars.
+	// registrarDelay is the time from the start of a node until the registrars are introduced to it.
 	registrarDelay = 100 * time.Millisecond
 	// settleSeconds is how many seconds a fleet may take to settle after a measurement of its traffic.
 	settleSeconds = 10
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -9,7 +9,7 @@
 	Eligible    bool                 // it may become the leader
 	LeaderEpoch int64                // epoch of its leadership; 0 if it does not lead
 	Lease       Lease                // its leader's lease, while it leads
-	Uptime      time.Duration        // how long it has run, less the precedence in elections that it yields while a large fleet starts
+	Uptime      time.Duration        // how long it has run, less its delay in the elections of a large fleet
 	Relay       bool                 // it passes on the status of other nodes
 	Idle        bool                 // no requests lately: it needs no loads, and sends and receives beats less often
 	Sequence    uint64               // sequence number of its copy of the store's objects
--- a/internal/gossip/totals.go
+++ b/internal/gossip/totals.go
@@ -60,7 +60,7 @@
 }
 
 // without returns the totals without the loads, request counts and demands of one of the included nodes. Its suspects and
-// its retiring and lost groups stay, because the receiver, that node itself, knows them anyway.
+// its retiring and lost groups stay, because the receiver is that node itself, which has them anyway.
 func (t *Totals) without(s *Status) *Totals {
 	out := *t
 	out.Busy -= s.Busy
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -62,7 +62,7 @@
 }
 
 // LostContact reports whether a data centre had live nodes within contactExpiry and has none now. The state of its endpoints
-// is then unknown: the nodes that could be asked do not receive the question, or their answers do not arrive.
+// is then unknown: probe requests to its nodes, or their replies, do not arrive.
 func (n *Node) LostContact(dataCentre string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,7 +79,7 @@
 	return n.knownNow(now)
 }
 
-// knownNow is Known for callers that hold n.mu.
+// knownNow is KnownCount for callers that hold n.mu.
 func (n *Node) knownNow(now time.Time) int {
 	n.live(now)
 	for vm, at := range n.lastSeen {
