--- a/internal/server/addresses.go
+++ b/internal/server/addresses.go
@@ -39,8 +39,8 @@
 	return addressesFor(dataCentre, nodes, n.runningRequests(now))
 }
 
-// nodeCounts returns the number of nodes in the fleet and how many of them serve requests; Busy is zero while this node
-// has not been busy for long enough for the others to know.
+// nodeCounts returns the number of nodes in the fleet and how many of them serve requests; Busy is zero until this node
+// has been busy for busyReportTime.
 func (n *Server) nodeCounts() retry.Nodes {
 	now := clock.Now()
 	out := retry.Nodes{All: 1 + n.gossip.KnownCount(now)}
--- a/internal/server/changes.go
+++ b/internal/server/changes.go
@@ -74,7 +74,7 @@
 		n.controller.Wake()
 		n.picker.GrantWaiting()
 	}
-	// Nodes that pull from this one learn at once that there are changes. If this node does not watch the store itself, the
+	// Notifies the nodes that pull from this one of the changes at once. If this node does not watch the store itself, the
 	// others get the changes from the same source as it does.
 	if _, watching := n.follower.CurrentAll(); watching {
 		n.gossip.Kick()
@@ -82,8 +82,8 @@
 }
 
 // neededForRouting reports whether nodes that only route requests need the endpoint. They need all but the engines that are
-// not the head of an open group. While the configuration does not say that a service has engines, its endpoints are assumed
-// to serve alone.
+// not the head of an open group. Unless the configuration in force defines engines for a service, its endpoints are
+// assumed to serve alone.
 func (n *Server) neededForRouting(e *endpoint.Endpoint) bool {
 	if t := n.table.Load(); t != nil {
 		if s := t.Service(e.Service); s != nil && s.Engine != nil {
--- a/internal/server/election.go
+++ b/internal/server/election.go
@@ -27,7 +27,7 @@
 	delay func() time.Duration
 
 	mu            sync.Mutex
-	leaderHeardAt time.Time // when a leader was last heard of
+	leaderHeardAt time.Time // when a leader was last live
 }
 
 func newElection(started time.Time, capacity uint32) *election {
@@ -39,11 +39,12 @@
 	return max(0, now.Sub(e.started)-e.delay())
 }
 
-// wantsLease reports whether this node should hold the lease: no other node leads, and of the nodes that could lead it is the
-// largest and has run for longest. After some time without a leader every node wants the lease. able says whether this node
-// can lead, and relay whether it is one of those that should. In a starting fleet each node considers itself a relay, and
-// nodes that are not among the largest registered ones leave the lease to those.
-func (e *election) wantsLease(now time.Time, able, relay, leads bool, live []*gossip.Peer) bool {
+// shouldHoldLease reports whether this node should hold the lease: no other node leads, and of the nodes that could lead it
+// is the largest and has run for longest. After leaderlessTimeout without a leader every relay should hold it, and after
+// twice that time every node. able is set if this node can lead, and relay if it is one of those that should. In a starting
+// fleet each node considers itself a relay, and nodes that are not among the largest registered ones leave the lease to
+// those.
+func (e *election) shouldHoldLease(now time.Time, able, relay, leads bool, live []*gossip.Peer) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	otherLeads := slices.ContainsFunc(live, func(p *gossip.Peer) bool { return p.LeaderEpoch > 0 })
@@ -65,11 +66,12 @@
 	return !slices.ContainsFunc(live, func(p *gossip.Peer) bool { return e.prefers(p, now) })
 }
 
-// prefers reports whether another node is the better leader. A larger node is: with 222 endpoints that lose two members
-// every three seconds, the orders of a leader with a fifth of a core took up to 0.45 s on average instead of the usual 0.02 s,
-// its plans expired and were started over, and two thirds of the requests were late or refused. Of equally large nodes the one
-// with the longer uptime is better, since it remembers endpoints that are not listed any more. The uptime in a heartbeat is
-// slightly old, so two nodes that started together may both consider themselves the better one, but never neither.
+// prefers reports whether another node is the better leader. A larger node is: with 222 endpoints that lose two members every
+// three seconds, the orders of a leader with a fifth of a core took up to 0.45 s on average instead of the usual 0.02 s, its
+// plans expired and were started over, and two thirds of the requests were late or refused. Of equally large nodes the one
+// with the longer uptime is better, since it has kept the records of endpoints that are no longer listed. The uptime in a
+// heartbeat is slightly old, so two nodes that started together may both consider themselves the better one, but never
+// neither.
 func (e *election) prefers(p *gossip.Peer, now time.Time) bool {
 	if !p.Eligible || p.Leaving {
 		return false
--- a/internal/server/election_test.go
+++ b/internal/server/election_test.go
@@ -31,7 +31,7 @@
 			sizes[i] = rapid.SampledFrom([]uint32{200, 800}).Draw(t, "capacity")
 			starts[i] = now.Add(-time.Duration(rapid.IntRange(600, 20000).Draw(t, "uptime")) * time.Millisecond)
 		}
-		wanting := 0
+		candidates := 0
 		for i := range starts {
 			e := newElection(starts[i], sizes[i])
 			e.leaderHeardAt = now
@@ -43,12 +43,12 @@
 					live = append(live, beat)
 				}
 			}
-			if e.wantsLease(now, true, true, false, live) {
-				wanting++
+			if e.shouldHoldLease(now, true, true, false, live) {
+				candidates++
 			}
 		}
-		if wanting == 0 {
-			t.Fatalf("no node wants to lead; start times %v", starts)
+		if candidates == 0 {
+			t.Fatalf("no node tries to lead; start times %v", starts)
 		}
 	})
 }
@@ -56,21 +56,21 @@
 func TestOnlyTheOldestWantsToLead(t *testing.T) {
 	now := origin.Add(time.Minute)
 	old, young := origin, origin.Add(30*time.Second)
-	qt.Check(t, newElection(old, defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{peerFromBeat(young, now, 0)}), qt.IsTrue)
+	qt.Check(t, newElection(old, defaultCapacity).shouldHoldLease(now, true, true, false, []*gossip.Peer{peerFromBeat(young, now, 0)}), qt.IsTrue)
 	e := newElection(young, defaultCapacity)
 	e.leaderHeardAt = now
-	qt.Check(t, e.wantsLease(now, true, true, false, []*gossip.Peer{peerFromBeat(old, now, 0)}), qt.IsFalse)
+	qt.Check(t, e.shouldHoldLease(now, true, true, false, []*gossip.Peer{peerFromBeat(old, now, 0)}), qt.IsFalse)
 }
 
 func TestALargerNodeLeadsThoughItIsYounger(t *testing.T) {
 	now := origin.Add(time.Minute)
 	old, young := origin, origin.Add(30*time.Second)
-	qt.Check(t, newElection(young, 2*defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{peerFromBeat(old, now, 0)}), qt.IsTrue)
+	qt.Check(t, newElection(young, 2*defaultCapacity).shouldHoldLease(now, true, true, false, []*gossip.Peer{peerFromBeat(old, now, 0)}), qt.IsTrue)
 	larger := peerFromBeat(young, now, 0)
 	larger.Capacity = 2 * defaultCapacity
 	e := newElection(old, defaultCapacity)
 	e.leaderHeardAt = now
-	qt.Check(t, e.wantsLease(now, true, true, false, []*gossip.Peer{larger}), qt.IsFalse)
+	qt.Check(t, e.shouldHoldLease(now, true, true, false, []*gossip.Peer{larger}), qt.IsFalse)
 }
 
 func TestEveryRelayWantsToLeadAfterTheLeaderlessTimeout(t *testing.T) {
@@ -78,29 +78,29 @@
 	e := newElection(origin.Add(30*time.Second), defaultCapacity)
 	e.leaderHeardAt = now
 	older := []*gossip.Peer{peerFromBeat(origin, now, 0)}
-	qt.Check(t, e.wantsLease(now.Add(leaderlessTimeout), true, true, false, older), qt.IsFalse)
-	qt.Check(t, e.wantsLease(now.Add(leaderlessTimeout+time.Millisecond), true, true, false, older), qt.IsTrue)
+	qt.Check(t, e.shouldHoldLease(now.Add(leaderlessTimeout), true, true, false, older), qt.IsFalse)
+	qt.Check(t, e.shouldHoldLease(now.Add(leaderlessTimeout+time.Millisecond), true, true, false, older), qt.IsTrue)
 }
 
 func TestRelaysLeadBeforeOtherNodes(t *testing.T) {
 	now := origin.Add(time.Minute)
 	e := newElection(origin, defaultCapacity)
 	e.leaderHeardAt = now
-	qt.Check(t, e.wantsLease(now.Add(2*leaderlessTimeout), true, false, false, nil), qt.IsFalse)
-	qt.Check(t, e.wantsLease(now.Add(2*leaderlessTimeout+time.Millisecond), true, false, false, nil), qt.IsTrue, qt.Commentf("no relay has been able to lead"))
+	qt.Check(t, e.shouldHoldLease(now.Add(2*leaderlessTimeout), true, false, false, nil), qt.IsFalse)
+	qt.Check(t, e.shouldHoldLease(now.Add(2*leaderlessTimeout+time.Millisecond), true, false, false, nil), qt.IsTrue, qt.Commentf("no relay has been able to lead"))
 }
 
 func TestNoNodeWantsToLeadWhileALeaderIsLive(t *testing.T) {
 	now := origin.Add(time.Minute)
 	leader := peerFromBeat(origin.Add(time.Second), now, 0)
 	leader.LeaderEpoch = 7
-	qt.Check(t, newElection(origin, defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{leader}), qt.IsFalse)
+	qt.Check(t, newElection(origin, defaultCapacity).shouldHoldLease(now, true, true, false, []*gossip.Peer{leader}), qt.IsFalse)
 }
 
 func TestNodesThatCannotLeadAreNotPreferred(t *testing.T) {
 	now := origin.Add(time.Minute)
-	qt.Check(t, newElection(origin, defaultCapacity).wantsLease(now, false, true, true, nil), qt.IsFalse)
+	qt.Check(t, newElection(origin, defaultCapacity).shouldHoldLease(now, false, true, true, nil), qt.IsFalse)
 	leaving := peerFromBeat(origin, now, 0)
 	leaving.Leaving = true
-	qt.Check(t, newElection(origin.Add(time.Second), defaultCapacity).wantsLease(now, true, true, false, []*gossip.Peer{leaving}), qt.IsTrue)
+	qt.Check(t, newElection(origin.Add(time.Second), defaultCapacity).shouldHoldLease(now, true, true, false, []*gossip.Peer{leaving}), qt.IsTrue)
 }
--- a/internal/server/fleet_profile.go
+++ b/internal/server/fleet_profile.go
@@ -25,8 +25,8 @@
 // nodes of several data centres are hardly ever dead at once. The nodes after them wait for a random time.
 const maxTurns = 6
 
-// newFleetProfile returns the profile of the fleet for the node self, given the other registered nodes; listed says that
-// self is registered too.
+// newFleetProfile returns the profile of the fleet for the node self, given the other registered nodes; listed is set
+// if self is registered too.
 func newFleetProfile(self gossip.Identity, registered []gossip.Identity, listed bool) *fleetProfile {
 	all := estimateNodes(registered)
 	if all <= gossip.SmallFleet {
--- a/internal/server/fleet_profile_test.go
+++ b/internal/server/fleet_profile_test.go
@@ -72,27 +72,27 @@
 	qt.Check(t, large.cohort < small.cohort/8, qt.IsTrue, qt.Commentf("cohorts of %d and %d nodes", large.cohort, small.cohort))
 }
 
-// Otherwise all large nodes of a starting fleet would read the lease before they have heard who leads.
+// Guards against all large nodes of a starting fleet reading the lease before they have heard from the leader.
 func TestLargeNodesOfAStartingFleetTryToLeadInTurn(t *testing.T) {
 	const nodes, large = 1000, 50
-	wanting := func(after time.Duration) (count int) {
+	countCandidates := func(after time.Duration) (count int) {
 		for i := range large {
 			n := &Server{}
 			n.fleetProfile.Store(profileSeenBy(i, nodes, large))
 			e := newElection(origin, defaultCapacity)
 			e.delay = n.electionDelay
-			if e.wantsLease(origin.Add(after), true, true, false, nil) {
+			if e.shouldHoldLease(origin.Add(after), true, true, false, nil) {
 				count++
 			}
 		}
 		return count
 	}
 	for turn := range maxTurns {
-		got := wanting(minUptimeToLead + time.Duration(turn)*turnInterval)
-		qt.Check(t, got <= turn+1, qt.IsTrue, qt.Commentf("turn %d: %d want to lead", turn, got))
+		got := countCandidates(minUptimeToLead + time.Duration(turn)*turnInterval)
+		qt.Check(t, got <= turn+1, qt.IsTrue, qt.Commentf("turn %d: %d try to lead", turn, got))
 	}
-	qt.Check(t, wanting(minUptimeToLead), qt.Equals, 1)
-	qt.Check(t, wanting(minUptimeToLead+maxTurns*turnInterval), qt.Equals, large, qt.Commentf("none of the nodes that take turns has started"))
+	qt.Check(t, countCandidates(minUptimeToLead), qt.Equals, 1)
+	qt.Check(t, countCandidates(minUptimeToLead+maxTurns*turnInterval), qt.Equals, large, qt.Commentf("none of the nodes that take turns has started"))
 }
 
 // A node that knows few others considers itself a relay. In a starting large fleet it must not watch the store because of that.
--- a/internal/server/overview.go
+++ b/internal/server/overview.go
@@ -35,8 +35,7 @@
 	CopyAgeMS *int64 `json:"copy_age_ms,omitempty"`
 }
 
-// newOverview returns the overview of the node self, which hears of the given other nodes and knows of a fleet of the given
-// number of nodes.
+// newOverview returns the overview of the fleet by the node self, given the other live nodes and the number of all nodes.
 func newOverview(self gossip.Peer, others []*gossip.Peer, nodes int, now time.Time) overview {
 	out := overview{VM: self.VM, Nodes: nodes}
 	for _, p := range append([]*gossip.Peer{&self}, others...) {
--- a/internal/server/overview_test.go
+++ b/internal/server/overview_test.go
@@ -22,5 +22,5 @@
 	qt.Check(t, got.Members[0].Relays, qt.IsTrue)
 	qt.Check(t, *got.Members[0].CopyAgeMS, qt.Equals, int64(700))
 	qt.Check(t, got.Members[1].Watches && got.Members[1].Leads, qt.IsTrue)
-	qt.Check(t, got.Members[2].CopyAgeMS, qt.IsNil, qt.Commentf("only the node's relay knows the age of its copy"))
+	qt.Check(t, got.Members[2].CopyAgeMS, qt.IsNil, qt.Commentf("only the node's relay receives the age of its copy"))
 }
--- a/internal/server/registration.go
+++ b/internal/server/registration.go
@@ -18,7 +18,7 @@
 
 const (
 	// nodesPerRegistrar is the average number of nodes for each registrar, a node that registers without listing the others
-	// first. Nodes that know a few others learn of all of them by gossip, so a fleet of 295 makes some 70 calls at full price
+	// first. Nodes that know a few others discover the rest by gossip, so a fleet of 295 makes some 70 calls at full price
 	// instead of 590.
 	nodesPerRegistrar = 8
 	// minRegistered is the number of other registered nodes that makes it unnecessary for a node to register, unless it is a
@@ -121,8 +121,8 @@
 	return wait + time.Duration(n.startJitter*float64(c.cohort)*float64(startSpreadPerNode))
 }
 
-// electionDelay returns the time that is deducted from this node's uptime in the election. Each node that wants to lead reads
-// the lease: all fifty large nodes of a fleet of 986 made 128 calls until they had heard who led.
+// electionDelay returns the time that is deducted from this node's uptime in the election. Each node that tries to lead reads
+// the lease: all fifty large nodes of a fleet of 986 made 128 calls until they had heard from the leader.
 func (n *Server) electionDelay() time.Duration {
 	return n.fleetProfile.Load().turnDelay()
 }
--- a/internal/server/relay_tenure.go
+++ b/internal/server/relay_tenure.go
@@ -37,5 +37,5 @@
 }
 
 // keepsAll reports whether this node keeps all endpoints although it does not watch the store. A relay may become
-// the next leader, and then knows which endpoints have disappeared recently.
+// the next leader, and then needs the records of endpoints that have disappeared recently.
 func (n *Server) keepsAll() bool { return n.relayTenure.update(n.gossip.Relaying(), clock.Now()) }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -142,7 +142,7 @@
 		Limits: n.rates, DataCentre: s.DataCentre, Directory: n.directory, Others: n.gossip.Others, Retiring: n.retiring, Lost: n.lost, OnStall: n.gossip.Kick,
 	})
 	ttl := s.LeaseTTL()
-	n.keeper = holder.NewKeeper(n.platform.Objects, leaseName, s.VM, ttl, ttl/leaseMarginDivisor, n.wantsLead, logger)
+	n.keeper = holder.NewKeeper(n.platform.Objects, leaseName, s.VM, ttl, ttl/leaseMarginDivisor, n.shouldLead, logger)
 	n.controller = formation.NewController(formation.Options{
 		Engine: n.platform.Engine, Directory: n.directory, Table: n.table.Load, Lease: n.keeper.Held, WriteInterval: s.EndpointBeat(),
 		CurrentAsOf: func() time.Time { return n.follower.Current(keys.Endpoints) }, ListedAsOf: n.endpointsListedAt, PeerTotals: n.gossip.Others, OwnStatus: n.ownStatus,
--- a/internal/server/status.go
+++ b/internal/server/status.go
@@ -68,14 +68,14 @@
 // ready reports whether this node accepts new callers.
 func (n *Server) ready() bool { return !n.leaving.Load() && n.serving(clock.Now()) }
 
-// wantsLead reports whether this node should hold the leader's lease. While another node holds it, this one does not query the
-// store for it, even if it has not heard from the holder yet.
-func (n *Server) wantsLead() bool {
+// shouldLead reports whether this node should hold the leader's lease. While another node holds it, this one does not query
+// the store for it, even if it has not heard from the holder yet.
+func (n *Server) shouldLead() bool {
 	now := clock.Now()
 	leads := n.controller.Leads(now) > 0
 	able := !n.leaving.Load() && n.table.Load() != nil && (n.follower.StoreAnswers() || leads && n.listedRecently(now))
-	wants := n.election.wantsLease(now, able, n.gossip.Relaying() && !n.isSmallerAtStart(), leads, n.gossip.Live(now))
-	return wants && (leads || !n.keeper.HeldElsewhere(now))
+	shouldHold := n.election.shouldHoldLease(now, able, n.gossip.Relaying() && !n.isSmallerAtStart(), leads, n.gossip.Live(now))
+	return shouldHold && (leads || !n.keeper.HeldElsewhere(now))
 }
 
 // listedRecently reports whether the leader's list of endpoints is recent enough to decide on, although the store has not
--- a/internal/server/traffic.go
+++ b/internal/server/traffic.go
@@ -10,7 +10,7 @@
 	// nodes; the others receive a request now and then, for which they do not need the loads of the fleet.
 	busyWindow   = 2 * time.Second
 	busyRequests = 3
-	// busyReportTime is the time within which busy nodes learn of each other.
+	// busyReportTime is the time within which the report that a node is busy reaches the other busy nodes.
 	busyReportTime = 3 * time.Second
 )
 
@@ -35,7 +35,7 @@
 	return wasIdle && !t.idleLocked(now)
 }
 
-// settled reports whether this node has been busy for long enough for the other nodes to know.
+// settled reports whether this node has been busy for busyReportTime.
 func (t *traffic) settled(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
