--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -1,6 +1,6 @@
 // Package follow maintains a node's copy of the platform's objects and tracks how current it is.
 //
-// Few nodes watch the store itself: the leader, and nodes that know of no current watcher. The others pull changes
+// Few nodes watch the store itself: the leader, and nodes that have found no current watcher. The others pull changes
 // from them. The proof of a copy is the time as of which it is certainly current, the time before the store was
 // queried. A proof relayed by another node counts from the sending of the heartbeat that the relay has echoed, so
 // that no clocks are compared.
@@ -35,7 +35,7 @@
 	maxRankDelay     = 1500 * time.Millisecond
 	// reporterMaxProofAge is how old the proof of a reporter, a node that is no relay, may get before it watches the store
 	// itself. Relays should watch for it: when the leader has died, the first of them does so within relayMaxProofAge, and an
-	// idle node hears of it half a second later. It is less than the 0.6 of five seconds after which a node that needs a proof
+	// idle node receives the new proof half a second later. It is less than the 0.6 of five seconds after which a node that needs a proof
 	// accepts no new callers.
 	reporterMaxProofAge = 2800 * time.Millisecond
 	// pullTimeout bounds one request for changes to another node.
@@ -86,12 +86,12 @@
 	failing    map[string]bool         // prefixes for which the last query to the store failed
 	lastAnswer time.Time               // when the store last answered this node
 	full       bool                    // the copy holds all endpoints
-	// watching says that this node itself lists and watches the endpoints in the store.
+	// watching is set while this node itself lists and watches the endpoints in the store.
 	watching    bool
 	lastListing storeListing
 }
 
-// NewFollower returns a Follower for the node self; leads says whether it is the leader.
+// NewFollower returns a Follower for the node self; leads reports whether it is the leader.
 func NewFollower(objects infra.ObjectStore, puller Puller, self string, leads func() bool, live func(now time.Time) []*gossip.Peer, logger log.Logger) *Follower {
 	f := &Follower{
 		Mirror: mirror.New(), objects: objects, puller: puller, leads: leads, live: live, self: self, logger: logger,
@@ -175,9 +175,9 @@
 	return time.Duration(2 * jitter * float64(others) * float64(fleetQueryInterval))
 }
 
-// mustProbe reports whether this node has to know whether the store answers it, even while other nodes keep its copy current:
-// a relay may become the next leader. If all 986 nodes of a fleet did so, each recovery of the store would cost some 9,000
-// calls.
+// mustProbe reports whether this node has to detect whether the store answers it, even while other nodes keep its copy
+// current: a relay may become the next leader. If all 986 nodes of a fleet did so, each recovery of the store would cost some
+// 9,000 calls.
 func (f *Follower) mustProbe() bool { return f.leads() || f.Relaying() }
 
 // lastAnswered returns when the store last answered this node.
@@ -187,8 +187,8 @@
 	return f.lastAnswer
 }
 
-// shouldWatch reports whether this node should watch the store itself now; watching says that it does. A watching node
-// continues until another node watches. A node that has left it to another resumes only when its proof is too old: each
+// shouldWatch reports whether this node should watch the store itself now; watching is set if it already does. A watching
+// node continues until another node watches. A node that has left it to another resumes only when its proof is too old: each
 // start takes a list of everything, and a watcher's proof is now and then a little older than this node accepts.
 func (f *Follower) shouldWatch(watching bool) bool {
 	if f.leads() {
@@ -209,10 +209,10 @@
 	return now.Sub(at) > relayMaxProofAge+f.rankDelay(now) && !f.watchedElsewhere(now)
 }
 
-// watchedElsewhere reports whether another node watches the store for all. A node that is no relay does not hear who watches,
-// only that its relay is current while there is a leader, and the proof it hears is some half a second older than what a
-// relay hears. With the limit for relays, an idle node that had once begun to watch found the proof too old each time and
-// went on watching forever, with 6.6 calls a second.
+// watchedElsewhere reports whether another node watches the store for all. A node that is no relay is not sent which nodes
+// watch, only that its relay is current while there is a leader, and the proof that it receives is about half a second older
+// than the one that a relay receives. With the limit for relays, an idle node that had once begun to watch found the proof
+// too old each time and went on watching forever, with 6.6 calls a second.
 func (f *Follower) watchedElsewhere(now time.Time) bool {
 	maxAge := relayMaxProofAge
 	if !f.Relaying() {
@@ -284,7 +284,7 @@
 	return f.lastListing.at, f.lastListing.sequence
 }
 
-// storeListing says as of when, and up to which sequence of the mirror, the endpoints were received from the store itself.
+// storeListing records as of when, and up to which sequence of the mirror, the endpoints were received from the store itself.
 type storeListing struct {
 	at       time.Time
 	sequence uint64
--- a/internal/follow/pull.go
+++ b/internal/follow/pull.go
@@ -34,8 +34,8 @@
 	if !p.ProofAt.After(at) && !isSource {
 		return
 	}
-	wantsFull := f.KeepsAll() || f.isWatching()
-	routing := !wantsFull || !p.Full
+	needsFull := f.KeepsAll() || f.isWatching()
+	routing := !needsFull || !p.Full
 	wanted := p.Sequence
 	if routing && p.Routing > 0 {
 		wanted = p.Routing
@@ -56,7 +56,7 @@
 	if routing {
 		f.setFull(false)
 	}
-	reconcile := have.sequence == 0 && routing != wantsFull
+	reconcile := have.sequence == 0 && routing != needsFull
 	if !f.pull(ctx, p, have, wanted, reconcile) {
 		return
 	}
@@ -101,11 +101,11 @@
 	if f.watching {
 		return
 	}
-	forgotten := f.Mirror.Forget(keys.Endpoints, all.lacks)
-	if len(forgotten) == 0 {
+	dropped := f.Mirror.Forget(keys.Endpoints, all.lacks)
+	if len(dropped) == 0 {
 		return
 	}
-	_ = level.Info(f.logger).Log("msg", "endpoints dropped that another node no longer has", "by_word_of", incarnation, "keys", len(forgotten), "first", forgotten[0])
+	_ = level.Info(f.logger).Log("msg", "endpoints dropped that another node no longer has", "by_word_of", incarnation, "keys", len(dropped), "first", dropped[0])
 	maps.DeleteFunc(f.pulled, func(other string, _ pullProgress) bool { return other != incarnation })
 }
 
--- a/internal/follow/query_delay_test.go
+++ b/internal/follow/query_delay_test.go
@@ -66,7 +66,8 @@
 	return func(time.Time) []*gossip.Peer { return list }
 }
 
-// followerWithOldCopy returns a Follower whose copy was last current a minute ago and that hears from others other relays.
+// followerWithOldCopy returns a Follower whose copy was last current a minute ago and that hears from the given
+// number of other relays.
 func followerWithOldCopy(store *unavailableStore, others int) *Follower {
 	f := NewFollower(store, emptyPeers{}, "n", func() bool { return false }, relayPeers(others), log.NewNopLogger())
 	f.proof.fromPeer(time.Now().Add(-time.Minute))
@@ -118,7 +119,7 @@
 	}
 }
 
-// followerWithoutCopy returns a Follower that has never had a copy and hears from others other relays.
+// followerWithoutCopy returns a Follower that has never had a copy and hears from the given number of other relays.
 func followerWithoutCopy(store *unavailableStore, others int) *Follower {
 	return NewFollower(store, emptyPeers{}, "n", func() bool { return false }, relayPeers(others), log.NewNopLogger())
 }
@@ -141,7 +142,7 @@
 	}
 }
 
-// A node that is no relay and is kept current by others does not need to know whether the store answers it.
+// A node that is no relay and is kept current by others does not need to detect whether the store answers it.
 func TestReporterThatPeersKeepCurrentDoesNotQueryARecoveredStore(t *testing.T) {
 	store := &unavailableStore{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -185,7 +186,7 @@
 	others = []*gossip.Peer{watchingPeer(time.Now())}
 	others[0].LeaderEpoch = 7
 	qt.Check(t, f.shouldWatch(true), qt.IsFalse)
-	others[0].Watching = false // as known from a roster, which does not say who watches
+	others[0].Watching = false // as known from a roster, which does not contain Watching
 	qt.Check(t, f.shouldWatch(true), qt.IsTrue)
 	others = append(others, &gossip.Peer{Status: gossip.Status{ProofAt: time.Now()}, Upstream: true})
 	qt.Check(t, f.shouldWatch(true), qt.IsFalse, qt.Commentf("the node's relay is current"))
@@ -224,7 +225,7 @@
 	return &gossip.Peer{Identity: gossip.Identity{VM: "other", Incarnation: "1"}, Status: gossip.Status{Watching: true, ProofAt: at}}
 }
 
-// A relay that the store refuses while it answers other nodes has to know when it is answered again; querying one prefix is
+// A relay that the store refuses while it answers other nodes has to detect when it is answered again; querying one prefix is
 // enough for that.
 func TestRelayThatAloneIsRefusedByTheStoreQueriesOnePrefix(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -244,7 +245,7 @@
 		qt.Assert(t, g.Wait(), qt.IsNil)
 		configuration, endpoints := store.queriesFor(keys.Accepted), store.queriesFor(keys.Endpoints)
 		qt.Check(t, configuration >= 3, qt.IsTrue, qt.Commentf("%d queries", configuration))
-		qt.Check(t, endpoints <= 1, qt.IsTrue, qt.Commentf("%d queries; only before it learned that the store answers other nodes", endpoints))
+		qt.Check(t, endpoints <= 1, qt.IsTrue, qt.Commentf("%d queries; only before it received the first proof of a node that the store answers", endpoints))
 	})
 }
 
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -31,19 +31,18 @@
 	batchDelay time.Duration // pause after a change, so that one call fetches several changes
 	proved     func(prefix string, at time.Time)
 	failed     func(prefix string, err error)
-	wanted     func(watching bool) bool // watching says that this source has listed all objects and watches for changes
+	wanted     func(watching bool) bool // watching is set if this source has listed all objects and watches for changes
 	// queryDelay returns how long a node waits before it queries an unavailable store again, for a random number from 0 to 1.
 	queryDelay   func(jitter float64) time.Duration
 	lastAnswered func() time.Time // when the store last answered this node
 	mustProbe    func() bool      // a failed query is repeated even if its result is no longer wanted
-	// probes says that this source is the one of the node's sources that repeats failed queries for mustProbe; the others wait
-	// until it is answered. Querying each prefix would triple the calls of a relay that the store refuses, and give it no more
-	// information.
+	// probes is set for the one of the node's sources that repeats failed queries for mustProbe; the others wait until it is
+	// answered. Querying each prefix would triple the calls of a relay that the store refuses, and give no more information.
 	probes bool
 	// watching, if not nil, is called before each query with true, and with false while the source does not query the store.
 	watching func(bool)
-	// entriesExpire says that entries may expire while the store is unavailable, and that those of live endpoints reappear
-	// soon after. proofAge returns the age of the copy.
+	// entriesExpire is set if entries may expire while the store is unavailable, and those of live endpoints reappear soon
+	// after. proofAge returns the age of the copy.
 	entriesExpire bool
 	proofAge      func(now time.Time) time.Duration
 	held          heldRemovals
@@ -94,13 +93,13 @@
 
 // waitToRetry waits after a failed query: at least for minimum, and then until this node's query delay has passed, the query is
 // no longer needed, or another source of this node has been answered. If no node had been answered for some time and others
-// now are, a node that must probe waits at most recoverySpread, one second: a node that does not know whether the store answers
-// it does not lead.
+// now are, a node that must probe waits at most recoverySpread, one second: it cannot lead until the store has answered it
+// again.
 func (s *source) waitToRetry(ctx context.Context, watching bool, minimum time.Duration) {
 	failed := clock.Now()
 	jitter := rand.Float64() //nolint:gosec // spreads queries over time, not security relevant
 	outageForAll := s.proofAge(failed) > relayMaxProofAge
-	var recoveredAt time.Time // when this node first saw that the store answers others again
+	var recoveredAt time.Time // when this node first detected that the store answers others again
 	loop.Sleep(ctx, minimum)
 	for ctx.Err() == nil && !s.lastAnswered().After(failed) {
 		if !s.mustProbe() && !s.wanted(watching) {
@@ -149,7 +148,7 @@
 	return l.Version, false, nil
 }
 
-// noteAnswer records that the store has answered; outage says that it was unavailable before.
+// noteAnswer records that the store has answered; outage is set if it was unavailable before.
 func (s *source) noteAnswer(outage bool) {
 	if outage {
 		s.held.start(clock.Now())
