--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -44,7 +44,7 @@
 	everRouting bool // this or an earlier version was needed for routing
 }
 
-// usage says which nodes need an object: all, for routing, or only those that form replica groups.
+// usage is the set of nodes that need an object: all, for routing, or only those that form replica groups.
 type usage uint8
 
 const (
@@ -120,7 +120,7 @@
 // Forget drops the objects below prefix for which where returns true, and returns their keys. It does not treat them as removed
 // from the store: the same versions can be stored again.
 func (m *Mirror) Forget(prefix string, where func(o infra.Object) bool) []string {
-	var forgotten []string
+	var dropped []string
 	for _, o := range m.List(prefix) {
 		if !where(o) {
 			continue
@@ -129,14 +129,14 @@
 		s.mu.Lock()
 		if held := s.entries[o.Key]; held != nil && held.object.Version == o.Version {
 			s.entries[o.Key] = m.append(held, tombstone(o))
-			forgotten = append(forgotten, o.Key)
+			dropped = append(dropped, o.Key)
 		}
 		s.mu.Unlock()
 	}
-	if len(forgotten) > 0 {
+	if len(dropped) > 0 {
 		m.notify()
 	}
-	return forgotten
+	return dropped
 }
 
 // tombstone returns a removal of an object that still exists in the store but that a node does not keep. It has the version
--- a/internal/mirror/routing.go
+++ b/internal/mirror/routing.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// RoutingSequence returns the sequence of the last change that is needed for routing, or that may be as long as there are unmarked
-// changes. A routing copy that includes all changes up to it is as current as this mirror.
+// RoutingSequence returns the sequence of the last change that is needed for routing. While there are unmarked changes, which
+// may be needed too, it returns that of the newest change. A routing copy that includes all changes up to it is as current as
+// this mirror.
 func (m *Mirror) RoutingSequence() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
