--- a/test/bench/cost.go
+++ b/test/bench/cost.go
@@ -16,12 +16,12 @@
 	"moorrun.dev/moorrun/internal/standin"
 )
 
-// serveProxy is the baseline: the standard library's reverse proxy. It prints its address.
-func serveProxy(to string) {
-	target := &url.URL{Scheme: "http", Host: to}
+// serveProxy runs the baseline, the standard library's reverse proxy, for the server at address backend. It prints its own address.
+func serveProxy(backend string) {
+	target := &url.URL{Scheme: "http", Host: backend}
 	proxy := httputil.NewSingleHostReverseProxy(target)
 	proxy.FlushInterval = -1
-	transport := http.DefaultTransport.(*http.Transport).Clone() //nolint:forcetypeassert // the library's own
+	transport := http.DefaultTransport.(*http.Transport).Clone() //nolint:forcetypeassert // DefaultTransport is a *http.Transport
 	transport.MaxIdleConnsPerHost = 1024
 	proxy.Transport = transport
 	s, err := standin.StartServer("127.0.0.1:0", proxy)
@@ -32,13 +32,13 @@
 	select {}
 }
 
-// startProxy starts this program as the proxy.
-func startProxy(to string) (address string, process *exec.Cmd, err error) {
+// startProxy starts this program as a reverse proxy for the server at address backend.
+func startProxy(backend string) (address string, process *exec.Cmd, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", nil, err
 	}
-	process = exec.Command(self, "-proxy", to) //nolint:gosec // this program itself
+	process = exec.Command(self, "-proxy", backend) //nolint:gosec // this program itself
 	out, err := process.StdoutPipe()
 	if err != nil {
 		return "", nil, err
@@ -50,9 +50,9 @@
 	return strings.TrimSpace(line), process, err
 }
 
-const costTime = 3 * time.Second
+const costDuration = 3 * time.Second
 
-// cost measures what one node adds: requests and tokens a second of processor time, latency and memory.
+// cost measures the overhead of one node: requests and stream events per second of CPU time, added latency, and memory.
 func cost(h *harness) ([]result, error) {
 	l, nodes, err := h.start(lab.Options{TokenEvery: 5 * time.Millisecond, Config: h.root + "/test/bench/config"}, 1, 4)
 	if err != nil {
@@ -64,24 +64,24 @@
 	if err != nil {
 		return nil, err
 	}
-	defer process.Process.Kill() //nolint:errcheck // our own child
+	defer process.Process.Kill() //nolint:errcheck // child process
 	node := nodes[0].Settings.CallerAddress
-	direct := getter(plain.Address, "/receipts")
-	viaProxy := getter(proxy, "/receipts")
-	viaNode := getter(node, "/services/receipts/receipts")
+	direct := newGetCall(plain.Address, "/receipts")
+	viaProxy := newGetCall(proxy, "/receipts")
+	viaNode := newGetCall(node, "/services/receipts/receipts")
 	rows := []result{}
-	proxyRate := perCPU(process.Process.Pid, viaProxy)
-	nodeRate := perCPU(nodes[0].PID(), viaNode)
+	proxyRate := callsPerCPUSecond(process.Process.Pid, viaProxy)
+	nodeRate := callsPerCPUSecond(nodes[0].PID(), viaNode)
 	rows = append(rows, result{"requests a core", "1/s", proxyRate, nodeRate, ">=1.5x", nodeRate >= 1.5*proxyRate})
-	base, baseProxy, ours := latencyOf(direct, viaProxy, viaNode)
+	base, baseProxy, ours := interleavedLatencies(direct, viaProxy, viaNode)
 	rows = append(rows,
-		result{"added latency p50, to the proxy's", "ms", baseProxy.ms(50) - base.ms(50), ours.ms(50) - base.ms(50), "-", true},
-		result{"added latency p99, to the proxy's", "ms", baseProxy.ms(99) - base.ms(99), ours.ms(99) - base.ms(99), "<1", ours.ms(99)-base.ms(99) < 1})
+		result{"added latency p50, to the proxy's", "ms", baseProxy.percentileMS(50) - base.percentileMS(50), ours.percentileMS(50) - base.percentileMS(50), "-", true},
+		result{"added latency p99, to the proxy's", "ms", baseProxy.percentileMS(99) - base.percentileMS(99), ours.percentileMS(99) - base.percentileMS(99), "<1", ours.percentileMS(99)-base.percentileMS(99) < 1})
 	more, err := streamCost(l, nodes[0])
 	return append(rows, more...), err
 }
 
-func getter(address, path string) func() bool {
+func newGetCall(address, path string) func() bool {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	return func() bool {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
@@ -90,21 +90,21 @@
 		if err != nil {
 			return false
 		}
-		defer answer.Body.Close() //nolint:errcheck // small
+		defer answer.Body.Close() //nolint:errcheck // read-only body
 		_, _ = bufio.NewReader(answer.Body).Peek(1)
 		return answer.StatusCode == http.StatusOK
 	}
 }
 
-// perCPU returns good calls a second of the process's processor time.
-func perCPU(pid int, call func() bool) float64 {
+// callsPerCPUSecond returns the number of successful calls per second of CPU time of the process.
+func callsPerCPUSecond(pid int, call func() bool) float64 {
 	before := lab.UsageOf(pid).CPUSeconds
-	good, _ := closedLoop(32, costTime, func(int) bool { return call() })
-	return float64(good) / (lab.UsageOf(pid).CPUSeconds - before)
+	succeeded, _ := closedLoop(32, costDuration, func(int) bool { return call() })
+	return float64(succeeded) / (lab.UsageOf(pid).CPUSeconds - before)
 }
 
-// latencyOf takes the three in turn, so that the machine's state is the same for all.
-func latencyOf(calls ...func() bool) (a, b, c *latencies) {
+// interleavedLatencies measures three kinds of calls in alternation, so that all run under the same conditions of the machine.
+func interleavedLatencies(calls ...func() bool) (a, b, c *latencies) {
 	out := []*latencies{newLatencies(), newLatencies(), newLatencies()}
 	const rounds = 4000
 	for range rounds {
@@ -118,7 +118,7 @@
 	return out[0], out[1], out[2]
 }
 
-// streamCost measures 1,000 open streams through the node, and through the proxy to one engine.
+// streamCost measures 1,000 open streams through the node, and up to 480 through the proxy to one engine.
 func streamCost(l *lab.Lab, node *lab.Node) ([]result, error) {
 	const streams = 1000
 	idle := lab.UsageOf(node.PID()).MemoryMB
@@ -137,14 +137,14 @@
 	if err != nil {
 		return nil, err
 	}
-	defer process.Process.Kill() //nolint:errcheck // our own child
+	defer process.Process.Kill() //nolint:errcheck // child process
 	caller := lab.NewCaller("donors-caller-token")
-	ours, memory := streamRate(node.PID(), streams, func(i int, each func(int) error) {
-		caller.Complete(node.Settings.CallerAddress, lab.Completion{Model: "letters-70b", Prompt: fmt.Sprint(i), Tokens: 2000, OnEvent: each})
+	ours, memory := streamRate(node.PID(), streams, func(i int, onEvent func(int) error) {
+		caller.Complete(node.Settings.CallerAddress, lab.Completion{Model: "letters-70b", Prompt: fmt.Sprint(i), Tokens: 2000, OnEvent: onEvent})
 	})
 	state := engine.State()
-	base, baseMemory := streamRate(process.Process.Pid, min(streams, 480), func(i int, each func(int) error) {
-		caller.CompleteAtEngine(proxy, state, lab.Completion{Prompt: fmt.Sprint(i), Tokens: 2000, OnEvent: each})
+	base, baseMemory := streamRate(process.Process.Pid, min(streams, 480), func(i int, onEvent func(int) error) {
+		caller.CompleteAtEngine(proxy, state, lab.Completion{Prompt: fmt.Sprint(i), Tokens: 2000, OnEvent: onEvent})
 	})
 	return []result{
 		{"stream events a core", "1/s", base, ours, ">=200000", ours >= 200000},
@@ -153,8 +153,8 @@
 	}, nil
 }
 
-// streamRate opens streams and returns events a second of processor time while all are open.
-func streamRate(pid, streams int, open func(i int, each func(int) error)) (perCore, memory float64) {
+// streamRate opens streams and returns their events per second of the process's CPU time while all are open, and its memory in MB.
+func streamRate(pid, streams int, open func(i int, onEvent func(int) error)) (perCore, memory float64) {
 	var events atomic.Int64
 	var stop atomic.Bool
 	done := make(chan struct{})
@@ -172,7 +172,7 @@
 	}
 	time.Sleep(2 * time.Second)
 	before, cpu := events.Load(), lab.UsageOf(pid).CPUSeconds
-	time.Sleep(costTime)
+	time.Sleep(costDuration)
 	perCore = float64(events.Load()-before) / (lab.UsageOf(pid).CPUSeconds - cpu)
 	memory = lab.UsageOf(pid).MemoryMB
 	stop.Store(true)
--- a/test/bench/main.go
+++ b/test/bench/main.go
@@ -1,4 +1,4 @@
-// Command bench measures moorrun's decisions and costs side by side with baselines, each pair in one run.
+// Command bench measures moorrun's decisions and costs against baselines, each pair in the same run.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	reached  bool
 }
 
-// experiment is one comparison; it returns its rows.
+// experiment is one comparison with one or more baselines; run returns its rows.
 type experiment struct {
 	name string
 	run  func(*harness) ([]result, error)
@@ -36,14 +36,14 @@
 	{"slow", slowReplica},
 	{"prefix", prefixes},
 	{"retries", retries},
-	{"once", onceOnly},
+	{"once", atMostOnce},
 	{"groups", groupLosses},
-	{"roll", rollAndLeave},
+	{"roll", rollAndDrain},
 	{"platform", platformCalls},
 	{"limits", limits},
 }
 
-// harness builds the programs once and starts labs.
+// harness holds the directory of the built programs and starts labs with them.
 type harness struct {
 	dir  string
 	root string
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir) //nolint:errcheck // a temporary directory
+	defer os.RemoveAll(dir) //nolint:errcheck // temporary directory
 	h := &harness{dir: dir, root: "."}
 	if err := lab.Build(h.root, dir); err != nil {
 		return err
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// start starts a lab with nodes and waits for its replica groups.
+// start starts a lab with the given number of nodes and waits until its configuration is accepted and its replica groups are usable.
 func (h *harness) start(o lab.Options, nodes, groups int, tunes ...lab.Tune) (*lab.Lab, []*lab.Node, error) {
 	dir, err := os.MkdirTemp(h.dir, "lab-")
 	if err != nil {
--- a/test/bench/measure.go
+++ b/test/bench/measure.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// latencies collects durations from many goroutines.
+// latencies is a histogram of durations that is safe for concurrent use.
 type latencies struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram // microseconds
@@ -24,22 +24,22 @@
 	_ = l.h.RecordValue(max(1, d.Microseconds()))
 }
 
-// ms returns a quantile in milliseconds.
-func (l *latencies) ms(quantile float64) float64 {
+// percentileMS returns a percentile, 0 to 100, in milliseconds.
+func (l *latencies) percentileMS(percentile float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(l.h.ValueAtQuantile(quantile)) / 1000
+	return float64(l.h.ValueAtQuantile(percentile)) / 1000
 }
 
-// mean returns the mean in milliseconds.
-func (l *latencies) mean() float64 {
+func (l *latencies) meanMS() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.h.Mean() / 1000
 }
 
-// closedLoop runs that many callers back to back for a while and returns how many calls ended well.
-func closedLoop(callers int, d time.Duration, call func(caller int) bool) (good, all int64) {
+// closedLoop runs concurrent callers for a duration, each starting a call when its previous one has ended. It returns the numbers
+// of successful calls and of all calls.
+func closedLoop(callers int, d time.Duration, call func(caller int) bool) (succeeded, all int64) {
 	var ok, total atomic.Int64
 	var group sync.WaitGroup
 	end := time.Now().Add(d)
@@ -57,7 +57,7 @@
 	return ok.Load(), total.Load()
 }
 
-// openLoop starts calls at a rate for a while, whatever becomes of them, and waits for the last.
+// openLoop starts calls at a fixed rate for a duration, whether or not earlier calls have ended, and waits until all have ended.
 func openLoop(perSecond float64, d time.Duration, call func(n int)) {
 	var group sync.WaitGroup
 	start := time.Now()
--- a/test/bench/once.go
+++ b/test/bench/once.go
@@ -13,49 +13,50 @@
 
 const receiptsPath = "/services/receipts/receipts"
 
-// onceOnly sends calls that may not be repeated under faults, sends each again through other addresses until
-// its outcome is known, and counts the runs at the endpoints. The baseline sends again without a key.
-func onceOnly(h *harness) ([]result, error) {
-	base, err := h.sendOnce(false)
+// atMostOnce sends calls that must run at most once while faults are injected, retries each through other addresses until its
+// outcome is known, and counts the runs at the endpoints. The baseline retries without an idempotency key.
+func atMostOnce(h *harness) ([]result, error) {
+	base, err := h.countOutcomes(false)
 	if err != nil {
 		return nil, err
 	}
-	ours, err := h.sendOnce(true)
+	ours, err := h.countOutcomes(true)
 	if err != nil {
 		return nil, err
 	}
 	all := float64(ours.calls)
 	return []result{
-		{"calls that ran twice or more", "count", float64(base.doubled), float64(ours.doubled), "0", ours.doubled == 0},
-		{"said not run, and ran", "count", float64(base.lies), float64(ours.lies), "0", ours.lies == 0},
+		{"calls that ran twice or more", "count", float64(base.repeated), float64(ours.repeated), "0", ours.repeated == 0},
+		{"said not run, and ran", "count", float64(base.falseNotRun), float64(ours.falseNotRun), "0", ours.falseNotRun == 0},
 		{"answers cut by endpoints after a run", "part", float64(base.cut) / float64(base.calls), float64(ours.cut) / all, "-", true},
 		{"calls that end as may have run", "part", float64(base.unknown) / float64(base.calls), float64(ours.unknown) / all, "low", float64(ours.unknown)/all < 0.05},
 		{"calls that end with their answer", "part", float64(base.answered) / float64(base.calls), float64(ours.answered) / all, ">0.95", float64(ours.answered)/all > 0.95},
 	}, nil
 }
 
-// onceCounts are calls; cut are those whose answer an endpoint cut after running them.
-type onceCounts struct{ calls, doubled, lies, unknown, answered, cut int64 }
+// outcomeCounts counts calls by outcome. falseNotRun are those reported as not run that ran; cut are those whose answer an
+// endpoint cut off after running them.
+type outcomeCounts struct{ calls, repeated, falseNotRun, unknown, answered, cut int64 }
 
-// sendOnce sends calls at a rate while nodes are killed and paused, answers cut and the store is out.
-func (h *harness) sendOnce(keyed bool) (onceCounts, error) {
-	l, nodes, err := h.start(h.small(), 3, 4)
+// countOutcomes sends calls at a rate while nodes are killed and paused, answers are cut off and the store is unavailable.
+func (h *harness) countOutcomes(withKey bool) (outcomeCounts, error) {
+	l, nodes, err := h.start(h.smallOptions(), 3, 4)
 	if err != nil {
-		return onceCounts{}, err
+		return outcomeCounts{}, err
 	}
 	defer l.Close()
 	const length = 15 * time.Second
-	f := &faultLine{lab: l, nodes: nodes}
+	f := &faultInjector{lab: l, nodes: nodes}
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
 	faults.Go(func() { f.run(stop) })
-	var counts onceCounts
-	openLoop(100, length, func(n int) { f.call(n, keyed, &counts) })
+	var counts outcomeCounts
+	openLoop(100, length, func(n int) { f.call(n, withKey, &counts) })
 	close(stop)
 	faults.Wait()
 	for n := range counts.calls {
 		if f.runs(fmt.Sprint("call", n)) > 1 {
-			counts.doubled++
+			counts.repeated++
 		}
 	}
 	for _, p := range l.Plains {
@@ -64,20 +65,20 @@
 	return counts, nil
 }
 
-// faultLine breaks a lab in a fixed order, and keeps callers' addresses while nodes are replaced.
-type faultLine struct {
+// faultInjector injects faults into a lab in a fixed order, and gives callers the current addresses of nodes that are restarted.
+type faultInjector struct {
 	lab   *lab.Lab
 	mu    sync.Mutex
 	nodes []*lab.Node
 }
 
-func (f *faultLine) address(i int) string {
+func (f *faultInjector) address(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nodes[i%len(f.nodes)].Settings.CallerAddress
 }
 
-func (f *faultLine) run(stop <-chan struct{}) {
+func (f *faultInjector) run(stop <-chan struct{}) {
 	const pause = 700 * time.Millisecond
 	for round := 0; ; round++ {
 		select {
@@ -109,8 +110,8 @@
 	}
 }
 
-// runs returns how often a call has run at all endpoints.
-func (f *faultLine) runs(mark string) int {
+// runs returns how many times a call has run, over all endpoints.
+func (f *faultInjector) runs(mark string) int {
 	runs := 0
 	for _, p := range f.lab.Plains {
 		runs += p.Runs(mark)
@@ -118,24 +119,24 @@
 	return runs
 }
 
-// call sends one call until its outcome is known, at most a few times.
-func (f *faultLine) call(n int, keyed bool, counts *onceCounts) {
+// call sends one call until its outcome is known, up to six times, and counts the outcome.
+func (f *faultInjector) call(n int, withKey bool, counts *outcomeCounts) {
 	gifts := lab.NewCaller("gifts-caller-token")
 	mark := fmt.Sprint("call", n)
 	key := ""
-	if keyed {
+	if withKey {
 		prefix := ""
-		for try := 0; prefix == "" && try < 5; try++ {
-			prefix, _ = gifts.KeyPrefix(f.address(n + try))
+		for attempt := 0; prefix == "" && attempt < 5; attempt++ {
+			prefix, _ = gifts.KeyPrefix(f.address(n + attempt))
 		}
 		key = prefix + "/" + mark
 	}
-	const sends = 6
+	const maxSends = 6
 	var last lab.Reply
-	for send := range sends {
+	for send := range maxSends {
 		last = gifts.Plain(f.address(n+send), http.MethodPost, receiptsPath, mark, key, "1")
-		if last.Status == http.StatusOK || keyed && last.Status == http.StatusConflict {
-			break // the answer, or that nobody will ever know
+		if last.Status == http.StatusOK || withKey && last.Status == http.StatusConflict {
+			break // answered, or the outcome cannot be determined
 		}
 		time.Sleep(time.Duration(50+rand.IntN(100)) * time.Millisecond)
 	}
@@ -145,7 +146,7 @@
 	case last.Verdict == "ran" && last.Status == http.StatusOK:
 		atomic.AddInt64(&counts.answered, 1)
 	case last.Verdict == "not-run" && runs > 0:
-		atomic.AddInt64(&counts.lies, 1)
+		atomic.AddInt64(&counts.falseNotRun, 1)
 	case last.Verdict != "not-run":
 		atomic.AddInt64(&counts.unknown, 1)
 	}
--- a/test/bench/oracle.go
+++ b/test/bench/oracle.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// place is one place of a replica in the oracle's queue model.
+// place is one request slot of a replica group in the queue model.
 type place struct {
-	free    time.Duration // when it is free
+	freeAt  time.Duration // when its last request ends
 	prefill time.Duration
 	service time.Duration
 }
@@ -15,7 +15,7 @@
 type placeHeap []place
 
 func (h placeHeap) Len() int           { return len(h) }
-func (h placeHeap) Less(i, j int) bool { return h[i].free < h[j].free }
+func (h placeHeap) Less(i, j int) bool { return h[i].freeAt < h[j].freeAt }
 func (h placeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
@@ -29,12 +29,12 @@
 	return p
 }
 
-// oracleFirstToken plays requests at a rate through one queue that knows every place exactly and sends each
-// request where its first token comes first; it is the best any choice could do on these stand-ins.
+// oracleFirstToken simulates requests at a rate with exact knowledge of the state of every place, each request being sent to
+// the place with the earliest first token. No policy can do better on these stand-in engines.
 func oracleFirstToken(perSecond float64) *latencies {
-	quick, slow := &placeHeap{}, &placeHeap{}
+	fast, slow := &placeHeap{}, &placeHeap{}
 	for range 24 {
-		heap.Push(quick, place{0, 21 * time.Millisecond, 213 * time.Millisecond})
+		heap.Push(fast, place{0, 21 * time.Millisecond, 213 * time.Millisecond})
 	}
 	for range 8 {
 		heap.Push(slow, place{0, 102 * time.Millisecond, 1060 * time.Millisecond})
@@ -43,19 +43,19 @@
 	const requests = 2000
 	for n := range requests {
 		at := time.Duration(float64(n) / perSecond * float64(time.Second))
-		from := quick
-		if first(slow, at) < first(quick, at) {
-			from = slow
+		chosen := fast
+		if firstTokenDelay(slow, at) < firstTokenDelay(fast, at) {
+			chosen = slow
 		}
-		p := heap.Pop(from).(place) //nolint:forcetypeassert // only places
-		lat.add(first(&placeHeap{p}, at))
-		p.free = max(p.free, at) + p.service
-		heap.Push(from, p)
+		p := heap.Pop(chosen).(place) //nolint:forcetypeassert // only places
+		lat.add(firstTokenDelay(&placeHeap{p}, at))
+		p.freeAt = max(p.freeAt, at) + p.service
+		heap.Push(chosen, p)
 	}
 	return lat
 }
 
-func first(h *placeHeap, at time.Duration) time.Duration {
+func firstTokenDelay(h *placeHeap, at time.Duration) time.Duration {
 	p := (*h)[0]
-	return max(0, p.free-at) + p.prefill
+	return max(0, p.freeAt-at) + p.prefill
 }
--- a/test/bench/platform.go
+++ b/test/bench/platform.go
@@ -12,52 +12,55 @@
 	"moorrun.dev/moorrun/internal/settings"
 )
 
-// The size to come, and what the object API takes.
+// The planned size of the deployment, and the limits of the object API in calls per second.
 const (
-	dataCentres    = 25
-	changesASecond = 14000.0 / 86400
-	writeLimit     = 100.0
-	readLimit      = 2000.0
+	dataCentres      = 25
+	changesPerSecond = 14000.0 / 86400
+	writeLimit       = 100.0
+	readLimit        = 2000.0
 )
 
-func errorOf(out lab.Output) error {
+func outputError(out lab.Output) error {
 	return errors.New(strings.TrimSpace(out.Stdout + out.Stderr))
 }
 
-// asShipped undoes the short terms that labs use, so that calls are counted at the default settings.
-func asShipped(s *settings.Settings) { s.LeaseTTLMS, s.HeartbeatMS, s.PollMS = 6000, 250, 500 }
+// setDefaultIntervals replaces the short lease, heartbeat and poll intervals of labs by the defaults, so that calls are counted at
+// the default settings.
+func setDefaultIntervals(s *settings.Settings) {
+	s.LeaseTTLMS, s.HeartbeatMS, s.PollMS = 6000, 250, 500
+}
 
-// platformCalls counts calls to the object API at rest, for each accepted change and after an outage, and
-// works out their part of the limits at the size to come.
+// platformCalls counts calls to the object API when idle, per accepted change and after an outage, and extrapolates them to the
+// planned size, for comparison with the limits.
 func platformCalls(h *harness) ([]result, error) {
-	o := h.small()
-	o.Config = h.root + "/test/bench/two" // both data centres have domains, and so a lease
-	l, _, err := h.start(o, 6, 4, asShipped)
+	o := h.smallOptions()
+	o.Config = h.root + "/test/bench/two" // both data centres have domains and therefore a lease
+	l, _, err := h.start(o, 6, 4, setDefaultIntervals)
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	const centres, rest = 2, 12 * time.Second
+	const labCentres, idle = 2, 12 * time.Second
 	time.Sleep(3 * time.Second)
 	from := time.Now()
-	time.Sleep(rest)
+	time.Sleep(idle)
 	reads, writes, _, _ := l.Objects.Calls.Since(from)
-	restReads := float64(reads) / rest.Seconds() / centres * dataCentres
-	restWrites := float64(writes) / rest.Seconds() / centres * dataCentres
+	idleReads := float64(reads) / idle.Seconds() / labCentres * dataCentres
+	idleWrites := float64(writes) / idle.Seconds() / labCentres * dataCentres
 
 	const applies = 10
 	from = time.Now()
 	for i := range applies {
-		if err := bump(l, i); err != nil {
+		if err := applySmallChange(l, i); err != nil {
 			return nil, err
 		}
 	}
 	took := time.Since(from)
 	reads, writes, _, _ = l.Objects.Calls.Since(from)
-	perApplyReads := (float64(reads) - restReads/dataCentres*centres*took.Seconds()) / applies
-	perApplyWrites := (float64(writes) - restWrites/dataCentres*centres*took.Seconds()) / applies
-	dayReads := restReads + changesASecond*perApplyReads/centres*dataCentres
-	dayWrites := restWrites + changesASecond*perApplyWrites
+	perApplyReads := (float64(reads) - idleReads/dataCentres*labCentres*took.Seconds()) / applies
+	perApplyWrites := (float64(writes) - idleWrites/dataCentres*labCentres*took.Seconds()) / applies
+	totalReads := idleReads + changesPerSecond*perApplyReads/labCentres*dataCentres
+	totalWrites := idleWrites + changesPerSecond*perApplyWrites
 
 	l.Objects.Down.Store(true)
 	time.Sleep(10 * time.Second)
@@ -65,22 +68,22 @@
 	from = time.Now()
 	time.Sleep(8 * time.Second)
 	_, _, maxReads, maxWrites := l.Objects.Calls.Since(from)
-	backReads, backWrites := float64(maxReads)/centres*dataCentres, float64(maxWrites)/centres*dataCentres
-	row := func(name string, limit, value, part float64) result {
-		return result{name, "1/s", limit, value, fmt.Sprintf("<%.0f%%", part*100), value < part*limit}
+	recoveryReads, recoveryWrites := float64(maxReads)/labCentres*dataCentres, float64(maxWrites)/labCentres*dataCentres
+	row := func(name string, limit, value, fraction float64) result {
+		return result{name, "1/s", limit, value, fmt.Sprintf("<%.0f%%", fraction*100), value < fraction*limit}
 	}
 	return []result{
-		row("reads at rest, 25 data centres, to the limit", readLimit, restReads, 0.4),
-		row("writes at rest, 25 data centres, to the limit", writeLimit, restWrites, 0.4),
-		row("reads with 14,000 changes a day", readLimit, dayReads, 0.4),
-		row("writes with 14,000 changes a day", writeLimit, dayWrites, 0.4),
-		row("reads in the worst second after an outage", readLimit, backReads, 1),
-		row("writes in the worst second after an outage", writeLimit, backWrites, 1),
+		row("reads at rest, 25 data centres, to the limit", readLimit, idleReads, 0.4),
+		row("writes at rest, 25 data centres, to the limit", writeLimit, idleWrites, 0.4),
+		row("reads with 14,000 changes a day", readLimit, totalReads, 0.4),
+		row("writes with 14,000 changes a day", writeLimit, totalWrites, 0.4),
+		row("reads in the worst second after an outage", readLimit, recoveryReads, 1),
+		row("writes in the worst second after an outage", writeLimit, recoveryWrites, 1),
 	}, nil
 }
 
-// bump applies a small change.
-func bump(l *lab.Lab, i int) error {
+// applySmallChange changes the number of places in one file of the configuration and applies the file.
+func applySmallChange(l *lab.Lab, i int) error {
 	content, err := os.ReadFile(filepath.Join(l.Files, "gifts.json"))
 	if err != nil {
 		return err
@@ -91,7 +94,7 @@
 		return err
 	}
 	if out := l.CLI("apply", file, "--wait"); out.Code != 0 {
-		return errorOf(out)
+		return outputError(out)
 	}
 	return nil
 }
--- a/test/bench/prefix.go
+++ b/test/bench/prefix.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	sharedPart   = 0.7 // of requests begin with a shared prefix
-	sharedCount  = 40  // shared prefixes; four engines hold 48
-	cachePerVM   = 12
-	prefixRate   = 60 // requests a second, 80 % of what the pool takes when half the prompts hit
-	prefixLength = 12 * time.Second
+	sharedFraction = 0.7 // requests that begin with a shared prefix
+	sharedPrefixes = 40  // distinct shared prefixes; the caches of four engines hold 48
+	prefixesPerVM  = 12
+	prefixRate     = 60 // requests per second, 80 % of the pool's capacity when half of the prompts hit
+	prefixDuration = 12 * time.Second
 )
 
-// prefixes measures how often a prompt's shared beginning is found in the engine's cache. The baseline's
-// prompts are too short for moorrun to prefer a group, and the same to the engines.
+// prefixes measures how often a prompt's shared prefix is found in the engine's cache. The prompts of the baseline are too short for
+// moorrun to prefer a group for them; to the engines they are equivalent.
 func prefixes(h *harness) ([]result, error) {
-	base, _, baseFirst, err := h.prefixHits(1)
+	base, _, baseFirst, err := h.prefixHitRate(1)
 	if err != nil {
 		return nil, err
 	}
-	const repeats = 20 // a prompt of 320 bytes and more
-	ours, skew, first, err := h.prefixHits(repeats)
-	best := pinnedHits(prefixPrompts(repeats))
+	const repeats = 20 // makes prompts of at least 320 bytes
+	ours, skew, first, err := h.prefixHitRate(repeats)
+	best := pinnedHitRate(prefixPrompts(repeats))
 	return []result{
 		{"prefix hits, to placing by load alone", "part", base, ours, ">1x", ours > base},
 		{"prefix hits, to the best placement", "part", best, ours, ">=0.8x", ours >= 0.8*best},
@@ -36,23 +36,23 @@
 	}, err
 }
 
-// prefixPrompts returns the load's prompts, their beginnings repeated that many times.
+// prefixPrompts returns the prompts of the load, with each prefix repeated the given number of times.
 func prefixPrompts(repeats int) []string {
-	r := rand.New(rand.NewPCG(3, 3)) //nolint:gosec // a repeatable load
-	prompts := make([]string, int(prefixRate*prefixLength.Seconds())+1)
+	r := rand.New(rand.NewPCG(3, 3)) //nolint:gosec // fixed seed for reproducibility
+	prompts := make([]string, int(prefixRate*prefixDuration.Seconds())+1)
 	for i := range prompts {
-		beginning := fmt.Sprintf("alone-%09d-", i)
-		if r.Float64() < sharedPart {
-			beginning = fmt.Sprintf("shared-%08d-", r.IntN(sharedCount))
+		prefix := fmt.Sprintf("alone-%09d-", i)
+		if r.Float64() < sharedFraction {
+			prefix = fmt.Sprintf("shared-%08d-", r.IntN(sharedPrefixes))
 		}
-		prompts[i] = strings.Repeat(beginning, repeats) + fmt.Sprint(" q", i)
+		prompts[i] = strings.Repeat(prefix, repeats) + fmt.Sprint(" q", i)
 	}
 	return prompts
 }
 
-// pinnedHits plays the prompts through four caches, each shared beginning pinned to one of them and the others
-// dealt out in turn: the best placement that keeps the load even.
-func pinnedHits(prompts []string) float64 {
+// pinnedHitRate returns the hit rate in four caches if each shared prefix is pinned to one cache and the other prompts are assigned
+// round robin: the best placement that keeps the load even.
+func pinnedHitRate(prompts []string) float64 {
 	caches := make([]standin.PrefixCache, 4)
 	hits := 0
 	for i, p := range prompts {
@@ -61,18 +61,18 @@
 		if n, _ := fmt.Sscanf(p, "shared-%08d-", &number); n == 1 {
 			at = number % len(caches)
 		}
-		if caches[at].Touch(p, cachePerVM) {
+		if caches[at].Touch(p, prefixesPerVM) {
 			hits++
 		}
 	}
 	return float64(hits) / float64(len(prompts))
 }
 
-// prefixHits returns the part of requests that hit, the busiest group's load to the mean, and the mean
-// first token, with prompts whose beginning is repeated that many times.
-func (h *harness) prefixHits(repeats int) (hits, skew, firstMS float64, err error) {
-	o := h.small()
-	o.Prefixes, o.Prefill = cachePerVM, 150*time.Millisecond
+// prefixHitRate returns the fraction of requests that hit, the ratio of the busiest group's load to the mean load, and the mean time to
+// first token, for prompts whose prefix is repeated the given number of times.
+func (h *harness) prefixHitRate(repeats int) (hitRate, skew, firstTokenMS float64, err error) {
+	o := h.smallOptions()
+	o.Prefixes, o.Prefill = prefixesPerVM, 150*time.Millisecond
 	l, nodes, err := h.start(o, 2, 4)
 	if err != nil {
 		return 0, 0, 0, err
@@ -81,18 +81,18 @@
 	c := lab.NewCaller("donors-caller-token")
 	prompts := prefixPrompts(repeats)
 	lat := newLatencies()
-	openLoop(prefixRate, prefixLength, func(n int) {
-		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: prompts[n%len(prompts)], Tokens: 20})
+	openLoop(prefixRate, prefixDuration, func(n int) {
+		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: prompts[n%len(prompts)], Tokens: 20})
 		if reply.Whole {
 			lat.add(reply.FirstToken)
 		}
 	})
-	var hit, all, most float64
+	var hits, all, busiest float64
 	for _, e := range l.Engines {
-		hit += float64(e.Cache.Hits.Load())
+		hits += float64(e.Cache.Hits.Load())
 		all += float64(e.Cache.Hits.Load() + e.Cache.Misses.Load())
-		most = max(most, float64(e.Runs.Load()))
+		busiest = max(busiest, float64(e.Runs.Load()))
 	}
 	const groups = 4
-	return hit / all, most / (all / groups), lat.mean(), nil
+	return hits / all, busiest / (all / groups), lat.meanMS(), nil
 }
--- a/test/bench/roll.go
+++ b/test/bench/roll.go
@@ -10,9 +10,9 @@
 	"moorrun.dev/moorrun/internal/lab"
 )
 
-// rollAndLeave rolls a model to a new version under load, then drains an endpoint.
-func rollAndLeave(h *harness) ([]result, error) {
-	l, nodes, err := h.start(h.small(), 2, 4)
+// rollAndDrain rolls a model out to a new version under load and then drains the leader of a group.
+func rollAndDrain(h *harness) ([]result, error) {
+	l, nodes, err := h.start(h.smallOptions(), 2, 4)
 	if err != nil {
 		return nil, err
 	}
@@ -25,7 +25,7 @@
 	if err := os.WriteFile(file, []byte(strings.Replace(string(content), `"version": "1"`, `"version": "2"`, 1)), 0o600); err != nil {
 		return nil, err
 	}
-	var cut, whole atomic.Int64
+	var incomplete, complete atomic.Int64
 	stop := make(chan struct{})
 	go func() {
 		c := lab.NewCaller("donors-caller-token")
@@ -35,17 +35,17 @@
 				return
 			default:
 			}
-			if c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: "v", Tokens: 40}).Whole {
-				whole.Add(1)
+			if c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: "v", Tokens: 40}).Whole {
+				complete.Add(1)
 			} else {
-				cut.Add(1)
+				incomplete.Add(1)
 			}
 		})
 	}()
 	if out := l.CLI("apply", file); out.Code != 0 {
-		return nil, errorOf(out)
+		return nil, outputError(out)
 	}
-	least, rolled := 4, 0
+	minUsable, rolled := 4, 0
 	err = lab.Until(60*time.Second, "every group at version 2", func() bool {
 		s, err := l.Status()
 		if err != nil {
@@ -61,34 +61,34 @@
 				rolled++
 			}
 		}
-		least = min(least, usable)
+		minUsable = min(minUsable, usable)
 		return rolled == 4
 	})
 	if err != nil {
 		return nil, err
 	}
-	late, err := newWorkAfterDrain(l)
+	lateRequests, err := requestsAfterDrain(l)
 	close(stop)
 	return []result{
-		{"usable groups of 4 while rolling, the least", "count", 0, float64(least), ">=3", least >= 3},
-		{"requests not whole while rolling and draining", "count", 0, float64(cut.Load()), "0", cut.Load() == 0},
-		{"requests to a drained VM's leader after 3 s", "count", 0, float64(late), "0", late == 0},
+		{"usable groups of 4 while rolling, the least", "count", 0, float64(minUsable), ">=3", minUsable >= 3},
+		{"requests not whole while rolling and draining", "count", 0, float64(incomplete.Load()), "0", incomplete.Load() == 0},
+		{"requests to a drained VM's leader after 3 s", "count", 0, float64(lateRequests), "0", lateRequests == 0},
 	}, err
 }
 
-// newWorkAfterDrain drains the leader of a group and counts what it is asked for from 3 s on.
-func newWorkAfterDrain(l *lab.Lab) (int64, error) {
+// requestsAfterDrain drains the leader of a group and counts the requests that it receives between 3 s and 6 s after that.
+func requestsAfterDrain(l *lab.Lab) (int64, error) {
 	s, err := l.Status()
 	if err != nil {
 		return 0, err
 	}
 	leader := s.Groups[0].VMs[0]
 	if out := l.CLI("drain", leader); out.Code != 0 {
-		return 0, errorOf(out)
+		return 0, outputError(out)
 	}
-	const limit, watch = 3 * time.Second, 3 * time.Second
-	time.Sleep(limit)
+	const drainDelay, countingTime = 3 * time.Second, 3 * time.Second
+	time.Sleep(drainDelay)
 	before := l.Engines[leader].Tried.Load()
-	time.Sleep(watch)
+	time.Sleep(countingTime)
 	return l.Engines[leader].Tried.Load() - before, nil
 }
