--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -39,20 +39,20 @@
 
 // Options are the parts a Server is made of.
 type Options struct {
-	Store     *accept.Store
-	Objects   infra.ObjectStore
-	Current   func() *config.Config
-	Members   *membership.Table
-	Mirror    *mirror.Mirror
-	Drains    *drains.Reader
-	Book      *domains.Book
-	Router    *routing.Router
-	Admission *admission.Admission
-	Burn      *burn.Recorder
-	Losses    func() []burn.GroupLosses
-	Checker   *invariant.Checker
-	Metrics   *metrics.Reporter
-	Logger    log.Logger
+	Store       *accept.Store
+	Objects     infra.ObjectStore
+	Current     func() *config.Config
+	Members     *membership.Table
+	Mirror      *mirror.Mirror
+	Drains      *drains.Reader
+	Assignments *domains.Reader
+	Router      *routing.Router
+	Admission   *admission.Admission
+	Burn        *burn.Recorder
+	Losses      func() []burn.GroupLosses
+	Checker     *invariant.Checker
+	Metrics     *metrics.Reporter
+	Logger      log.Logger
 	// Bootstrap is the hash of the token that may apply the first configuration.
 	Bootstrap string
 	// Ready reports whether the node takes requests, and why not.
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -41,7 +41,7 @@
 }
 
 func (s *Server) addGroups(out *adminapi.Status, scope config.Scope, now time.Time) {
-	for _, a := range s.Book.All() {
+	for _, a := range s.Assignments.All() {
 		for _, g := range a.Groups {
 			if !scope.Pool && scope.Workspace != g.Workspace {
 				continue
@@ -58,7 +58,7 @@
 
 func (s *Server) addVMs(out *adminapi.Status, c *config.Config, drained drains.Drains) {
 	for _, d := range c.Domains() {
-		a, _, _ := s.Book.Get(d.Name)
+		a, _, _ := s.Assignments.Get(d.Name)
 		for _, vm := range d.VMs {
 			v := adminapi.VM{Name: vm.Name, Domain: d.Name, DataCentre: d.DataCentre, Drained: drained.Has(vm.Name)}
 			if a != nil {
--- a/internal/domains/book.go
+++ b/internal/domains/reader.go
@@ -7,20 +7,20 @@
 	"moorrun.dev/moorrun/internal/replica"
 )
 
-// Book returns the stored assignments. Callers must not modify them.
-type Book struct {
+// Reader returns the stored assignments. Callers must not modify them.
+type Reader struct {
 	view *mirror.View[replica.Assignment]
 }
 
-// NewBook returns a Book that reads from m.
-func NewBook(m *mirror.Mirror) *Book {
-	return &Book{mirror.NewView[replica.Assignment](m)}
+// NewReader returns a Reader that reads from m.
+func NewReader(m *mirror.Mirror) *Reader {
+	return &Reader{mirror.NewView[replica.Assignment](m)}
 }
 
 // Get returns the assignment of a domain and the version of its object.
-func (b *Book) Get(domain string) (*replica.Assignment, int64, bool) {
+func (b *Reader) Get(domain string) (*replica.Assignment, int64, bool) {
 	return b.view.Get(keys.Domain(domain))
 }
 
 // All returns the assignments of all domains.
-func (b *Book) All() []*replica.Assignment { return b.view.All(keys.Domains) }
+func (b *Reader) All() []*replica.Assignment { return b.view.All(keys.Domains) }
--- a/internal/endpoint/directory_test.go
+++ b/internal/endpoint/directory_test.go
@@ -56,19 +56,19 @@
 	d := endpoint.NewDirectory(time.Second)
 	left := func() *endpoint.Endpoint { return &endpoint.Endpoint{ID: "a", Service: "lm", Staged: []string{"n"}} }
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
-	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsFalse)
+	qt.Check(t, d.Read().Endpoints["a"].HasLoaded("m"), qt.IsFalse)
 	d.Apply([]*endpoint.Endpoint{member("a", "g", 1, 0, endpoint.Open)}, nil, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
-	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsTrue, qt.Commentf("the model is kept after the endpoint has left its group"))
+	qt.Check(t, d.Read().Endpoints["a"].HasLoaded("m"), qt.IsTrue, qt.Commentf("the model is kept after the endpoint has left its group"))
 	d.Apply(nil, []string{"a"}, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
-	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsTrue, qt.Commentf("the model is kept while the endpoint is not listed"))
+	qt.Check(t, d.Read().Endpoints["a"].HasLoaded("m"), qt.IsTrue, qt.Commentf("the model is kept while the endpoint is not listed"))
 	joins := member("a", "h", 2, 0, endpoint.Joining)
 	joins.Models = nil
 	d.Apply([]*endpoint.Endpoint{joins}, nil, origin)
 	d.Apply([]*endpoint.Endpoint{left()}, nil, origin)
-	qt.Check(t, d.Read().Endpoints["a"].Holds("m"), qt.IsFalse, qt.Commentf("the endpoint may have begun to load the model of another group"))
+	qt.Check(t, d.Read().Endpoints["a"].HasLoaded("m"), qt.IsFalse, qt.Commentf("the endpoint may have begun to load the model of another group"))
 }
 
 func TestDrainingMemberMarksItsGroup(t *testing.T) {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -69,11 +69,11 @@
 	return listed
 }
 
-// Holds reports whether the endpoint is ready to run the model.
-func (e *Endpoint) Holds(model string) bool { return contains(e.Models, model) }
+// HasLoaded reports whether the endpoint is ready to run the model.
+func (e *Endpoint) HasLoaded(model string) bool { return contains(e.Models, model) }
 
-// Heads reports whether the endpoint reports to be the head of an open replica group.
-func (e *Endpoint) Heads() bool {
+// IsOpenHead reports whether the endpoint reports to be the head of an open replica group.
+func (e *Endpoint) IsOpenHead() bool {
 	m := e.Membership
 	return m != nil && m.Rank == 0 && m.State == Open
 }
--- a/internal/engine/mix.go
+++ b/internal/engine/mix.go
@@ -45,8 +45,8 @@
 	return Mix{PerSecond: perSecond, Tokens: m.Tokens * factor, Squares: m.Squares * factor, Objective: m.Objective}
 }
 
-// Less returns the mix without the requests of another mix that was added to it. The objective is kept.
-func (m *Mix) Less(other Mix) Mix {
+// Minus returns the mix without the requests of another mix that was added to it. The objective is kept.
+func (m *Mix) Minus(other Mix) Mix {
 	return Mix{
 		PerSecond: max(0, m.PerSecond-other.PerSecond), Tokens: max(0, m.Tokens-other.Tokens),
 		Squares: max(0, m.Squares-other.Squares), Objective: m.Objective,
--- a/internal/engine/model.go
+++ b/internal/engine/model.go
@@ -87,9 +87,9 @@
 	return low * saturation, true
 }
 
-// Marginal returns by how much one more running request delays the first event of a mean prompt at a group that gets the given
+// MarginalDelay returns by how much one more running request delays the first event of a mean prompt at a group that gets the given
 // mix and runs the given number of requests. The arrival rate is taken to grow in proportion to the running requests.
-func (m *Model) Marginal(mix Mix, running float64) time.Duration {
+func (m *Model) MarginalDelay(mix Mix, running float64) time.Duration {
 	if !m.Figures.Known() || mix.PerSecond <= 0 || running <= 0 {
 		return 0
 	}
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -70,7 +70,7 @@
 	other.Objective = 200 * time.Millisecond
 	sum.Add(other)
 	qt.Check(t, sum, qt.Equals, engine.Mix{PerSecond: 15, Tokens: 20_000, Squares: 30e6, Objective: 200 * time.Millisecond})
-	left := sum.Less(other)
+	left := sum.Minus(other)
 	qt.Check(t, left, qt.Equals, engine.Mix{PerSecond: 10, Tokens: 10_000, Squares: 10e6, Objective: 200 * time.Millisecond})
 }
 
@@ -105,10 +105,10 @@
 
 func TestMarginalDelayGrowsWithTheRate(t *testing.T) {
 	m := engine.Model{Figures: figures}
-	few, many := m.Marginal(uniformMix(10, 1000), 10), m.Marginal(uniformMix(30, 1000), 10)
+	few, many := m.MarginalDelay(uniformMix(10, 1000), 10), m.MarginalDelay(uniformMix(30, 1000), 10)
 	qt.Check(t, 0 < few && few < many, qt.IsTrue, qt.Commentf("%v at a low rate, %v at a high rate", few, many))
-	qt.Check(t, m.Marginal(engine.Mix{}, 0), qt.Equals, time.Duration(0))
-	qt.Check(t, m.Marginal(uniformMix(48, 1000), 10), qt.Equals, time.Duration(math.MaxInt64), qt.Commentf("with one more request the group cannot read prompts as fast as they arrive"))
+	qt.Check(t, m.MarginalDelay(engine.Mix{}, 0), qt.Equals, time.Duration(0))
+	qt.Check(t, m.MarginalDelay(uniformMix(48, 1000), 10), qt.Equals, time.Duration(math.MaxInt64), qt.Commentf("with one more request the group cannot read prompts as fast as they arrive"))
 	part := uniformMix(40, 1000)
 	qt.Check(t, part.Part(4), qt.Equals, uniformMix(10, 1000))
 }
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -163,7 +163,7 @@
 	request.SetBodyRaw(c.ctx.PostBody())
 	a.sentAt = clock.Now()
 	until := s.Router.AllPresentUntil(a.target)
-	if !s.Checker.Hold(invariant.WholeGroup, a.sentAt.Before(until), func() []any {
+	if !s.Checker.Check(invariant.GroupComplete, a.sentAt.Before(until), func() []any {
 		return []any{"group", a.target.Group, "request_id", c.id, "whole_until", until}
 	}) {
 		return nil, verdict.New(verdict.NotRun, errors.New("the group is no longer whole"))
@@ -199,7 +199,7 @@
 // checkAnswerID checks the invariant that an answer about to be relayed carries no request ID or that of its
 // call.
 func (s *Server) checkAnswerID(c *call, id []byte) {
-	s.Checker.Hold(invariant.OwnAnswer, len(id) == 0 || string(id) == c.id, func() []any {
+	s.Checker.Check(invariant.ResponseMatchesRequest, len(id) == 0 || string(id) == c.id, func() []any {
 		return []any{"request_id", c.id, "answer_id", string(id)}
 	})
 }
--- a/internal/entry/invariants_test.go
+++ b/internal/entry/invariants_test.go
@@ -25,7 +25,7 @@
 func newTestServer() (*Server, *invariant.Checker) {
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	m := mirror.New()
-	router := routing.New(drains.NewReader(m), domains.NewBook(m), evidence.NewTable(), func() *config.Config { return nil })
+	router := routing.New(drains.NewReader(m), domains.NewReader(m), evidence.NewTable(), func() *config.Config { return nil })
 	return New(Options{Checker: checker, Scope: tally.NoopScope, Router: router, Calls: httpcall.NewClient(), Logger: log.NewNopLogger()}), checker
 }
 
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -207,7 +207,7 @@
 }
 
 func (s *Server) sendPlain(p *plainCall, endpoint config.Endpoint) error {
-	if !s.Checker.Hold(invariant.RunsOnce, p.repeatable || !p.mayHaveRun, func() []any {
+	if !s.Checker.Check(invariant.SentAtMostOnce, p.repeatable || !p.mayHaveRun, func() []any {
 		return []any{"request_id", p.id, "service", p.name}
 	}) {
 		return verdict.New(verdict.MayHaveRun, errors.New("the request may have run already"))
--- a/internal/formation/candidate.go
+++ b/internal/formation/candidate.go
@@ -9,9 +9,9 @@
 	"moorrun.dev/moorrun/internal/route"
 )
 
-// evictionPressureRatio is how many times the pressure of another model a model's own pressure has to be before its
-// group may cost that model the ability to form one of its own. The margin keeps groups from switching back and forth.
-const evictionPressureRatio = 1.5
+// minEvictionPressureRatio is the smallest ratio of a model's pressure to that of another model at which a group of the
+// first may cost the other the ability to form one. The margin keeps groups from switching back and forth.
+const minEvictionPressureRatio = 1.5
 
 // candidate is a replica group that could be formed from free endpoints.
 type candidate struct {
@@ -96,7 +96,7 @@
 		if lost == 0 {
 			continue
 		}
-		if remaining := p.potentialPressure(v, copiesByModel, other, lost); remaining > targetUtilisation && need < evictionPressureRatio*remaining {
+		if remaining := p.potentialPressure(v, copiesByModel, other, lost); remaining > targetUtilisation && need < minEvictionPressureRatio*remaining {
 			return false
 		}
 	}
@@ -109,7 +109,7 @@
 func (p *Planner) fit(v *View, free []*endpoint.Endpoint, m route.Model) []*endpoint.Endpoint {
 	var eligible []*endpoint.Endpoint
 	for _, e := range free {
-		if !v.Busy || e.Holds(m.Name) || e.HasStaged(m.Name) && !p.isLoading(e) {
+		if !v.Busy || e.HasLoaded(m.Name) || e.HasStaged(m.Name) && !p.isLoading(e) {
 			eligible = append(eligible, e)
 		}
 	}
@@ -141,7 +141,7 @@
 // its host, 0 if the model has to be loaded from the weight store.
 func warmth(e *endpoint.Endpoint, m route.Model) int {
 	switch {
-	case e.Holds(m.Name):
+	case e.HasLoaded(m.Name):
 		return 2
 	case e.HasStaged(m.Name):
 		return 1
--- a/internal/formation/capability.go
+++ b/internal/formation/capability.go
@@ -10,12 +10,14 @@
 const targetUtilisation = 0.45
 
 // hasCopy reports whether the endpoint could serve the model without loading it from the weight store.
-func hasCopy(e *endpoint.Endpoint, m route.Model) bool { return e.Holds(m.Name) || e.HasStaged(m.Name) }
+func hasCopy(e *endpoint.Endpoint, m route.Model) bool {
+	return e.HasLoaded(m.Name) || e.HasStaged(m.Name)
+}
 
 // evicts reports whether joining a group of newModel would make the endpoint lose m: the endpoint holds m, and m is not
 // staged on its host.
 func evicts(e *endpoint.Endpoint, newModel, m route.Model) bool {
-	return newModel.Name != "" && newModel.Name != m.Name && e.Holds(m.Name) && !e.HasStaged(m.Name)
+	return newModel.Name != "" && newModel.Name != m.Name && e.HasLoaded(m.Name) && !e.HasStaged(m.Name)
 }
 
 // modelCopies counts the endpoints of each domain that have a copy of a model, whatever they do now. Only loads of
--- a/internal/formation/completion.go
+++ b/internal/formation/completion.go
@@ -51,7 +51,7 @@
 	for _, e := range list {
 		current, busy := p.stagings[e.ID]
 		switch {
-		case e.Draining || v.isDown(e.ID) || e.Holds(m.Name) && !p.isFree(v, e):
+		case e.Draining || v.isDown(e.ID) || e.HasLoaded(m.Name) && !p.isFree(v, e):
 		case warmth(e, m) > 0, current.model == m.Name:
 			available++
 		case !busy && p.isFree(v, e):
--- a/internal/formation/settling_test.go
+++ b/internal/formation/settling_test.go
@@ -84,7 +84,7 @@
 		for domain, list := range p.freeByDomain(v) {
 			holding := 0
 			for _, e := range list {
-				if e.Holds(m.Name) {
+				if e.HasLoaded(m.Name) {
 					holding++
 				}
 			}
--- a/internal/formation/spare.go
+++ b/internal/formation/spare.go
@@ -15,7 +15,7 @@
 			continue
 		}
 		for _, m := range v.Service.Engine.Models {
-			if !e.Holds(m.Name) {
+			if !e.HasLoaded(m.Name) {
 				p.stageModel(v, e, m)
 				break
 			}
@@ -65,7 +65,7 @@
 			continue
 		}
 		for _, m := range v.Service.Engine.Models {
-			if e.Holds(m.Name) || e.HasStaged(m.Name) || p.stagings[e.ID].model == m.Name {
+			if e.HasLoaded(m.Name) || e.HasStaged(m.Name) || p.stagings[e.ID].model == m.Name {
 				addCount(out, e.Domain, m.Name, 1)
 			}
 		}
--- a/internal/formation/stage.go
+++ b/internal/formation/stage.go
@@ -148,7 +148,7 @@
 		}
 		var lacks []route.Model
 		for _, m := range v.Service.Engine.Models {
-			if !e.Holds(m.Name) {
+			if !e.HasLoaded(m.Name) {
 				lacks = append(lacks, m)
 			}
 		}
@@ -164,7 +164,7 @@
 // hasOtherModelStaged reports whether the host has a staged model that the endpoint does not hold.
 func hasOtherModelStaged(e *endpoint.Endpoint) bool {
 	for _, m := range e.Staged {
-		if !e.Holds(m) {
+		if !e.HasLoaded(m) {
 			return true
 		}
 	}
--- a/internal/gateway/active_request.go
+++ b/internal/gateway/active_request.go
@@ -107,7 +107,7 @@
 
 // awaitPlace chooses an endpoint for the request and waits for a place there.
 func (f *activeRequest) awaitPlace(ctx context.Context) (*picker.Place, error) {
-	w := &picker.Want{
+	w := &picker.Requirements{
 		Service: f.service.Name, ColdFor: f.service.ColdFor, ColdPerSecond: f.service.ColdPerSecond, Workspace: f.workspace.Name, Priority: f.priority(), Exclude: f.excluded,
 		MaxWait: time.Duration(placeWaitFraction * float64(f.route.Objective)),
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -120,7 +120,7 @@
 	finding    quarantine.ProbeResult // result of every probe of an endpoint
 }
 
-// inquiry returns an Inquiry whose probes of endpoints all return s.finding.
+// inquiry returns an Investigator whose probes of endpoints all return s.finding.
 func (s *testGateway) inquiry(d *endpoint.Directory) *quarantine.Investigator {
 	return &quarantine.Investigator{
 		Table: s.quarantine, Directory: d, OnEnding: func(bool) {}, Logger: log.NewNopLogger(),
@@ -158,7 +158,7 @@
 	s.gateway = gateway.New(gateway.Options{
 		Table: func() *route.Table { return s.table }, Proof: func() time.Time { return s.proof }, ProofLimit: 5 * time.Second,
 		Picker:     picker.New(picker.Options{Directory: d, Others: noOthers, Retiring: func(time.Time) map[string]bool { return nil }, Lost: func(string, time.Time) bool { return s.lost }}),
-		Quarantine: s.quarantine, Inquiry: s.inquiry(d),
+		Quarantine: s.quarantine, Investigator: s.inquiry(d),
 		Limits: retry.Limits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Nodes: func() retry.Nodes { return retry.Nodes{All: 1, Busy: 1} }, RequestLog: s.newRequestLog, Scope: tally.NoopScope,
 	})
 	return s
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -20,13 +20,13 @@
 	// credentials missing from it are then still refused as NotRun rather than for good, since a newer one may contain them.
 	ProofOptional bool
 	Picker        *picker.Picker
-	// Quarantine holds back requests under which endpoints have ended. Inquiry finds out whether an endpoint has ended.
-	Quarantine *quarantine.Table
-	Inquiry    *quarantine.Investigator
-	Limits     retry.Limits
-	Nodes      func() retry.Nodes
-	RequestLog func(id string) RequestLog // returns the log of a new request
-	Scope      tally.Scope
+	// Quarantine holds back requests under which endpoints have ended. Investigator determines whether an endpoint has ended.
+	Quarantine   *quarantine.Table
+	Investigator *quarantine.Investigator
+	Limits       retry.Limits
+	Nodes        func() retry.Nodes
+	RequestLog   func(id string) RequestLog // returns the log of a new request
+	Scope        tally.Scope
 }
 
 // RequestLog is the log of one request, with an entry for each decision on it.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -36,7 +36,7 @@
 // reportFailure reports an attempt without a complete answer to the inquiry: if its endpoint has ended, that counts against the
 // request.
 func (f *activeRequest) reportFailure(ctx context.Context, place *picker.Place, err error) {
-	inquiry := f.gateway.Inquiry
+	inquiry := f.gateway.Investigator
 	switch {
 	case verdict.Of(err) == verdict.NotRun:
 		inquiry.Refused(place.Endpoint)
--- a/internal/gossip/demand.go
+++ b/internal/gossip/demand.go
@@ -27,5 +27,5 @@
 
 // minus subtracts the demand of a node that is included in d.
 func (d Demand) minus(other Demand) Demand {
-	return Demand{Waiting: max(0, d.Waiting-other.Waiting), Running: max(0, d.Running-other.Running), Mix: d.Mix.Less(other.Mix)}
+	return Demand{Waiting: max(0, d.Waiting-other.Waiting), Running: max(0, d.Running-other.Running), Mix: d.Mix.Minus(other.Mix)}
 }
--- a/internal/gossip/quarantine.go
+++ b/internal/gossip/quarantine.go
@@ -104,7 +104,7 @@
 func recordToWire(r quarantine.Record, now time.Time) *gossippb.QuarantineRecord {
 	s := &gossippb.QuarantineRecord{Fingerprint: uint64(r.Fingerprint), Answered: r.Answered, HoldMs: floorMillis(r.Hold), AgeMs: floorMillis(r.Age)}
 	for _, e := range r.Endings {
-		s.Endings = append(s.Endings, &gossippb.Ending{Life: e.Life, Domain: e.Domain, AgeMs: floorMillis(max(0, now.Sub(e.At)))})
+		s.Endings = append(s.Endings, &gossippb.Ending{Life: e.InstanceHash, Domain: e.Domain, AgeMs: floorMillis(max(0, now.Sub(e.At)))})
 	}
 	return s
 }
@@ -112,7 +112,7 @@
 func recordFromWire(s *gossippb.QuarantineRecord, asOf time.Time) quarantine.Record {
 	r := quarantine.Record{Fingerprint: quarantine.Fingerprint(s.Fingerprint), Answered: s.Answered, Hold: fromMillis(s.HoldMs), Age: fromMillis(s.AgeMs)}
 	for _, e := range s.Endings {
-		r.Endings = append(r.Endings, quarantine.Ending{Life: e.Life, Domain: e.Domain, At: asOf.Add(-fromMillis(e.AgeMs))})
+		r.Endings = append(r.Endings, quarantine.Ending{InstanceHash: e.Life, Domain: e.Domain, At: asOf.Add(-fromMillis(e.AgeMs))})
 	}
 	return r
 }
--- a/internal/gossip/quarantine_test.go
+++ b/internal/gossip/quarantine_test.go
@@ -39,7 +39,7 @@
 
 // endingOf returns the ending of an endpoint, identified by a number, in one of six domains.
 func endingOf(number int) quarantine.Ending {
-	return quarantine.Ending{Life: uint32(number), Domain: uint32(number % 6), At: time.Now()}
+	return quarantine.Ending{InstanceHash: uint32(number), Domain: uint32(number % 6), At: time.Now()}
 }
 
 // endEndpoint simulates the ending of an endpoint that was running the fatal request for one node and other requests for
--- a/internal/holder/controller.go
+++ b/internal/holder/controller.go
@@ -45,22 +45,22 @@
 // Controller writes the assignments of a data centre's fabric domains and sends orders to their VMs while
 // this node holds the data centre's lease.
 type Controller struct {
-	Keeper     *Keeper
-	Objects    infra.ObjectStore
-	Engine     infra.Engine
-	Mirror     *mirror.Mirror
-	Book       *domains.Book
-	Drains     *drains.Reader
-	Reports    *evidence.Reports
-	VMs        *VMWatch
-	Config     func() *config.Config
-	Demand     func() replica.Demand
-	Checker    *invariant.Checker
-	Logger     log.Logger
-	VM         string
-	DataCentre string
-	Policy     replica.Policy
-	Losses     *LossMeter
+	Keeper      *Keeper
+	Objects     infra.ObjectStore
+	Engine      infra.Engine
+	Mirror      *mirror.Mirror
+	Assignments *domains.Reader
+	Drains      *drains.Reader
+	Reports     *evidence.Reports
+	VMs         *VMWatch
+	Config      func() *config.Config
+	Demand      func() replica.Demand
+	Checker     *invariant.Checker
+	Logger      log.Logger
+	VM          string
+	DataCentre  string
+	Policy      replica.Policy
+	Losses      *LossMeter
 
 	epoch       int64
 	epochStart  time.Time // when this node was first seen to hold the lease with this epoch
@@ -123,7 +123,7 @@
 // manages it returns the version last written or read, which may be newer than the mirror's.
 func (c *Controller) assignments(current *config.Config) []*replica.Assignment {
 	var out []*replica.Assignment
-	for _, a := range c.Book.All() {
+	for _, a := range c.Assignments.All() {
 		if own, ok := c.domains[a.Domain]; ok && own.latest != nil {
 			a = own.latest
 		}
@@ -140,7 +140,7 @@
 		s = &domainState{memory: replica.NewMemory(), lastOrders: make(map[string]sentOrder)}
 		c.domains[d.Name] = s
 	}
-	if a, version, ok := c.Book.Get(d.Name); ok && version > s.version {
+	if a, version, ok := c.Assignments.Get(d.Name); ok && version > s.version {
 		s.latest, s.version = a, version
 	}
 	if s.latest == nil {
@@ -202,7 +202,7 @@
 func (c *Controller) write(ctx context.Context, s *domainState, next *replica.Assignment, changes []replica.Change) bool {
 	next.Holder, next.Epoch, next.Operation = c.VM, c.epoch, uuid.NewString()
 	err := next.Check()
-	if !c.Checker.Hold(invariant.OneGroupAVM, err == nil, func() []any { return []any{"err", err} }) {
+	if !c.Checker.Check(invariant.OneGroupPerVM, err == nil, func() []any { return []any{"err", err} }) {
 		return false
 	}
 	epoch, _, held := c.Keeper.Held(clock.Now())
@@ -215,7 +215,7 @@
 		c.readBack(ctx, s, next)
 		return false
 	}
-	c.Checker.Hold(invariant.UnderLease, next.Epoch >= s.latest.Epoch, func() []any {
+	c.Checker.Check(invariant.LeaseEpochMonotonic, next.Epoch >= s.latest.Epoch, func() []any {
 		return []any{"domain", next.Domain, "epoch", next.Epoch, "after_epoch", s.latest.Epoch}
 	})
 	c.recordWritten(s, next, version, changes)
--- a/internal/holder/controller_test.go
+++ b/internal/holder/controller_test.go
@@ -60,7 +60,7 @@
 	checker := invariant.NewChecker(log.NewNopLogger(), tally.NoopScope)
 	store := &stubStore{}
 	c := newController(checker, store)
-	c.Book, c.Drains, c.Reports = domains.NewBook(c.Mirror), drains.NewReader(c.Mirror), evidence.NewReports()
+	c.Assignments, c.Drains, c.Reports = domains.NewReader(c.Mirror), drains.NewReader(c.Mirror), evidence.NewReports()
 	c.VMs, c.Losses, c.Policy = NewVMWatch(nil, nil, nil), NewLossMeter(), replica.DefaultPolicy
 	c.DataCentre = "x"
 	part := config.Part{DataCentre: &config.DataCentre{Name: "x", Domains: []config.Domain{{Name: "d"}}}}
--- a/internal/inforce/tracker.go
+++ b/internal/inforce/tracker.go
@@ -161,7 +161,7 @@
 
 func (t *Tracker) activate(next *config.Config, head *accept.Head) {
 	old := t.Current()
-	t.checker.Hold(invariant.RevisionGrows, old == nil || next.Revision > old.Revision, func() []any {
+	t.checker.Check(invariant.RevisionMonotonic, old == nil || next.Revision > old.Revision, func() []any {
 		return []any{"from", old.Revision, "to", next.Revision}
 	})
 	t.current.Store(next)
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -15,20 +15,20 @@
 
 // The invariants.
 const (
-	// OneGroupAVM states that no VM belongs to two groups at the same time.
-	OneGroupAVM Name = "one_group_a_vm"
-	// WholeGroup states that a request is sent to a group only on current evidence that all its VMs are present.
-	WholeGroup Name = "whole_group"
-	// RevisionGrows states that the revision of the accepted configuration never goes back.
-	RevisionGrows Name = "revision_grows"
-	// OwnAnswer states that a caller receives the response to its own request.
-	OwnAnswer Name = "own_answer"
-	// RunsOnce states that a request that must not be repeated is sent at most once.
-	RunsOnce Name = "runs_once"
-	// PlacesHeld states that the places granted in a group do not exceed the places that it has.
-	PlacesHeld Name = "places_held"
-	// UnderLease states that an assignment is never replaced by one from an earlier lease holder.
-	UnderLease Name = "under_lease"
+	// OneGroupPerVM states that no VM belongs to two groups at the same time.
+	OneGroupPerVM Name = "one_group_a_vm"
+	// GroupComplete states that a request is sent to a group only on current evidence that all its VMs are present.
+	GroupComplete Name = "whole_group"
+	// RevisionMonotonic states that the revision of the accepted configuration never goes back.
+	RevisionMonotonic Name = "revision_grows"
+	// ResponseMatchesRequest states that a caller receives the response to its own request.
+	ResponseMatchesRequest Name = "own_answer"
+	// SentAtMostOnce states that a request that must not be repeated is sent at most once.
+	SentAtMostOnce Name = "runs_once"
+	// PlacesWithinCapacity states that the places granted in a group do not exceed the places that it has.
+	PlacesWithinCapacity Name = "places_held"
+	// LeaseEpochMonotonic states that an assignment is never replaced by one from an earlier lease holder.
+	LeaseEpochMonotonic Name = "under_lease"
 )
 
 // Checker counts checks and breaches, and logs the breaches.
@@ -44,9 +44,9 @@
 	return &Checker{logger: logger, scope: scope}
 }
 
-// Hold records a check of invariant name, which holds if ok is true, and returns ok. On a breach it calls
+// Check records a check of invariant name, which holds if ok is true, and returns ok. On a breach it calls
 // detail for the state to log, as key-value pairs.
-func (c *Checker) Hold(name Name, ok bool, detail func() []any) bool {
+func (c *Checker) Check(name Name, ok bool, detail func() []any) bool {
 	c.checks.Add(1)
 	if ok {
 		return true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,9 +102,9 @@
 	n.buildFleet()
 	current := func() *config.Config { return n.configTracker.Current() }
 	n.configTracker = inforce.NewTracker(n.fleet.Mirror, partSource{n.caller, n.links, n.objects}, checker, logger, n.configChanged)
-	book := domains.NewBook(n.fleet.Mirror)
+	assignments := domains.NewReader(n.fleet.Mirror)
 	n.drains = drains.NewReader(n.fleet.Mirror)
-	router := routing.New(n.drains, book, n.fleet.Looks, current)
+	router := routing.New(n.drains, assignments, n.fleet.Observations, current)
 	engine := rest.NewEngine(n.calls, engineTimeout)
 	n.takeover = membership.NewTakeover(n.fleet.Members, func(dataCentre string) string {
 		if c := current(); c != nil {
@@ -112,7 +112,7 @@
 		}
 		return dataCentre
 	})
-	n.observer = observer.New(n.fleet, engine, book, current, n.takeover, s.Poll(), s.Evidence())
+	n.observer = observer.New(n.fleet, engine, assignments, current, n.takeover, s.Poll(), s.Evidence())
 	services := routing.NewServices(n.drains, current)
 	n.places = places.NewServer(n.fleet.Members, router, services, current, checker)
 	n.peerServer = peer.NewServer(n.fleet, n.configTracker, n.places)
@@ -125,7 +125,7 @@
 	n.serviceAdmission = admission.New(n.runCtx, allocatorClient, services)
 	n.once = once.NewClaimStore(time.Now)
 	losses := holder.NewLossMeter()
-	n.buildHolder(book, engine, current, checker, losses)
+	n.buildHolder(assignments, engine, current, checker, losses)
 	recorder := burn.NewRecorder(func(workspace, service string) (config.Objective, bool) {
 		if c := current(); c != nil {
 			return c.Objective(workspace, service)
@@ -139,7 +139,7 @@
 	})
 	n.admin = admin.New(admin.Options{
 		Store: accept.NewStore(n.objects), Objects: n.objects, Current: current, Members: n.fleet.Members,
-		Mirror: n.fleet.Mirror, Drains: n.drains, Book: book, Router: router, Admission: n.admission, Burn: recorder,
+		Mirror: n.fleet.Mirror, Drains: n.drains, Assignments: assignments, Router: router, Admission: n.admission, Burn: recorder,
 		Losses: losses.Losses, Checker: checker, Metrics: n.reporter, Logger: logger,
 		Bootstrap: s.BootstrapOperatorSHA256, Ready: n.ready,
 	})
@@ -159,7 +159,7 @@
 		PeerAddress: s.PeerAddress, Incarnation: uuid.NewString()[:8], Heard: clock.Now(),
 	}
 	n.fleet = &peer.Fleet{
-		Mirror: mirror.New(), Looks: evidence.NewTable(), Reports: evidence.NewReports(),
+		Mirror: mirror.New(), Observations: evidence.NewTable(), Reports: evidence.NewReports(),
 		Members: membership.NewTable(self), Contact: &peer.Contact{}, Outgoing: peer.NewOutbox(), Heartbeat: s.Heartbeat(),
 	}
 	n.caller = peer.NewCaller(s.Heartbeat())
@@ -167,7 +167,7 @@
 	n.watcher = relay.NewWatcher(n.objects, n.fleet, n.links, n.logger)
 }
 
-func (n *Node) buildHolder(book *domains.Book, engine infra.Engine, current func() *config.Config, checker *invariant.Checker, losses *holder.LossMeter) {
+func (n *Node) buildHolder(assignments *domains.Reader, engine infra.Engine, current func() *config.Config, checker *invariant.Checker, losses *holder.LossMeter) {
 	s := n.settings
 	n.leases = &leaseManager{node: n, keepers: make(map[string]*holder.Keeper)}
 	n.vms = holder.NewVMWatch(
@@ -178,7 +178,7 @@
 	policy.Reload = s.Reload()
 	n.leases.newController = func(dataCentre string, k *holder.Keeper) *holder.Controller {
 		return &holder.Controller{
-			Keeper: k, Objects: n.objects, Engine: engine, Mirror: n.fleet.Mirror, Book: book, Drains: n.drains, Reports: n.fleet.Reports,
+			Keeper: k, Objects: n.objects, Engine: engine, Mirror: n.fleet.Mirror, Assignments: assignments, Drains: n.drains, Reports: n.fleet.Reports,
 			VMs: n.vms, Config: current, Demand: n.places.Waiting, Checker: checker, Logger: n.logger, VM: s.VM,
 			DataCentre: dataCentre, Policy: policy, Losses: losses,
 		}
@@ -242,7 +242,7 @@
 	loop.Every(ctx, sweepInterval, func(now time.Time) {
 		n.calls.Sweep()
 		n.once.Sweep()
-		n.fleet.Looks.Sweep(now)
+		n.fleet.Observations.Sweep(now)
 		n.fleet.Members.Sweep(now)
 	})
 	return nil
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -33,7 +33,7 @@
 type Observer struct {
 	fleet            *peer.Fleet
 	engine           infra.Engine
-	book             *domains.Book
+	assignments      *domains.Reader
 	config           func() *config.Config
 	orphans          *membership.Takeover
 	pollInterval     time.Duration
@@ -47,9 +47,9 @@
 
 // New returns an Observer that polls each VM at the interval every. Its evidence for a group expires when
 // lifetime has passed since the oldest of the last answers of the group's VMs.
-func New(fleet *peer.Fleet, engine infra.Engine, book *domains.Book, current func() *config.Config, orphans *membership.Takeover, every, lifetime time.Duration) *Observer {
+func New(fleet *peer.Fleet, engine infra.Engine, assignments *domains.Reader, current func() *config.Config, orphans *membership.Takeover, every, lifetime time.Duration) *Observer {
 	return &Observer{
-		fleet: fleet, engine: engine, book: book, config: current, orphans: orphans, pollInterval: every, evidenceLifetime: lifetime,
+		fleet: fleet, engine: engine, assignments: assignments, config: current, orphans: orphans, pollInterval: every, evidenceLifetime: lifetime,
 		watches: make(map[string]domainWatch),
 	}
 }
@@ -155,7 +155,7 @@
 func (o *Observer) publish(domain string, vms map[string]replica.VMView) {
 	now := clock.Now()
 	observation := evidence.Observation{Domain: domain, Observer: peer.ObserverName(o.fleet.Members.Self(now)), SameDataCentre: true}
-	if a, _, ok := o.book.Get(domain); ok {
+	if a, _, ok := o.assignments.Get(domain); ok {
 		observation.Generation = a.Generation
 		for _, g := range a.Groups {
 			if g.State != replica.Draining {
@@ -167,7 +167,7 @@
 	o.sequence++
 	observation.Sequence = o.sequence
 	o.mu.Unlock()
-	o.fleet.Looks.Put(observation, now)
+	o.fleet.Observations.Put(observation, now)
 	for vm, v := range vms {
 		o.fleet.Reports.Put(vm, v)
 	}
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -13,11 +13,11 @@
 
 // Fleet is the state that a node holds of the deployment and exchanges with its peers over its links.
 type Fleet struct {
-	Mirror  *mirror.Mirror
-	Looks   *evidence.Table
-	Reports *evidence.Reports
-	Members *membership.Table
-	Contact *Contact
+	Mirror       *mirror.Mirror
+	Observations *evidence.Table
+	Reports      *evidence.Reports
+	Members      *membership.Table
+	Contact      *Contact
 	// Outgoing holds this node's own observations, with the reports of the observed VMs, for sending to relays.
 	Outgoing *Outbox
 	// Heartbeat is the longest time that either side of a link goes without sending a message.
--- a/internal/peer/link_client.go
+++ b/internal/peer/link_client.go
@@ -86,7 +86,7 @@
 	for _, e := range down.Evidence {
 		observation := observationFromWire(e, asOf)
 		observation.SameDataCentre = l.sameDataCentre && l.observerInSameDataCentre(observation.Observer)
-		l.fleet.Looks.Put(observation, now)
+		l.fleet.Observations.Put(observation, now)
 	}
 	l.receiveMembers(down.Members, asOf)
 	for _, a := range down.Alive {
--- a/internal/peer/link_server.go
+++ b/internal/peer/link_server.go
@@ -127,7 +127,7 @@
 	for _, e := range up.Evidence {
 		observation := observationFromWire(e, asOf)
 		observation.SameDataCentre = true
-		l.fleet.Looks.Put(observation, now)
+		l.fleet.Observations.Put(observation, now)
 		for _, r := range e.Vms {
 			l.fleet.Reports.Put(r.Vm, reportFromWire(r, asOf))
 		}
@@ -160,7 +160,7 @@
 // addObservations adds the observations that have changed. Peers in this data centre get those of all data centres,
 // other peers only those made in this data centre. A peer's own observations are not sent back to it.
 func (l *linkServer) addObservations(down *peerpb.Down, now time.Time) {
-	observations, sequence := l.fleet.Looks.Since(l.sentObservations)
+	observations, sequence := l.fleet.Observations.Since(l.sentObservations)
 	l.sentObservations = sequence
 	sameDataCentre := l.peerInSameDataCentre()
 	for _, observation := range observations {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -16,7 +16,7 @@
 
 func newTestLink() *LinkClient {
 	return &LinkClient{sameDataCentre: true, fleet: &Fleet{
-		Mirror: mirror.New(), Looks: evidence.NewTable(), Reports: evidence.NewReports(), Contact: &Contact{},
+		Mirror: mirror.New(), Observations: evidence.NewTable(), Reports: evidence.NewReports(), Contact: &Contact{},
 		Members: membership.NewTable(membership.Member{VM: "self", DataCentre: "dc"}),
 	}}
 }
@@ -28,7 +28,7 @@
 	l.receive(&peerpb.Down{Tick: 1, Echo: tick, Evidence: []*peerpb.DomainEvidence{{
 		Domain: "d", Observer: "o/1", Sequence: 1, Groups: []*peerpb.GroupEvidence{{Id: "g", Birth: 1, RemainingMs: 900}},
 	}}})
-	g, ok := l.fleet.Looks.Group("d", "g", 1)
+	g, ok := l.fleet.Observations.Group("d", "g", 1)
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, g.Expires, qt.Equals, sent.Add(900*time.Millisecond))
 	qt.Assert(t, time.Now().Before(g.Expires), qt.IsFalse, qt.Commentf("evidence older than its lifetime is already expired"))
@@ -39,7 +39,7 @@
 	l.receive(&peerpb.Down{Tick: 1, Evidence: []*peerpb.DomainEvidence{{
 		Domain: "d", Observer: "o/1", Sequence: 1, Groups: []*peerpb.GroupEvidence{{Id: "g", Birth: 1, RemainingMs: 900}},
 	}}})
-	_, ok := l.fleet.Looks.Group("d", "g", 1)
+	_, ok := l.fleet.Observations.Group("d", "g", 1)
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
@@ -60,6 +60,6 @@
 			t.Fatalf("object version went back from 5 to %d", o.Version)
 		}
 		l.fleet.Members.Live(time.Now())
-		l.fleet.Looks.Since(0)
+		l.fleet.Observations.Since(0)
 	})
 }
--- a/internal/picker/arrivals.go
+++ b/internal/picker/arrivals.go
@@ -24,7 +24,7 @@
 }
 
 // add counts a request.
-func (a *arrivals) add(w *Want, now time.Time) {
+func (a *arrivals) add(w *Requirements, now time.Time) {
 	a.decay(now)
 	weight, tokens := 1/rateTimeConstant.Seconds(), float64(w.PromptTokens)
 	a.mix.PerSecond += weight
--- a/internal/picker/candidate.go
+++ b/internal/picker/candidate.go
@@ -39,7 +39,7 @@
 
 // full reports whether the candidate takes no more requests. With useQueue set, a replica group that is not cold still takes up to
 // maxGroupQueue requests beyond its limit into its own queue.
-func (c *candidate) full(w *Want, useQueue bool) bool {
+func (c *candidate) full(w *Requirements, useQueue bool) bool {
 	switch {
 	case c.remainingPause > 0:
 		return true
@@ -53,7 +53,7 @@
 }
 
 // candidates returns the endpoints that may take the request, with their costs.
-func (p *Picker) candidates(w *Want, others *gossip.Totals, now time.Time) []candidate {
+func (p *Picker) candidates(w *Requirements, others *gossip.Totals, now time.Time) []candidate {
 	snapshot := p.options.Directory.Read()
 	if w.Model == "" {
 		return p.standaloneCandidates(w, snapshot, others, now)
@@ -61,7 +61,7 @@
 	return p.groupCandidates(w, snapshot, others, now)
 }
 
-func (p *Picker) groupCandidates(w *Want, snapshot *endpoint.Snapshot, others *gossip.Totals, now time.Time) []candidate {
+func (p *Picker) groupCandidates(w *Requirements, snapshot *endpoint.Snapshot, others *gossip.Totals, now time.Time) []candidate {
 	retiring := p.options.Retiring(now)
 	var out []candidate
 	median := p.medianGap(w, snapshot)
@@ -117,7 +117,7 @@
 
 // medianGap returns the median, over the model's groups, of the mean gap between events as measured by this node; zero if none
 // has been measured.
-func (p *Picker) medianGap(w *Want, snapshot *endpoint.Snapshot) time.Duration {
+func (p *Picker) medianGap(w *Requirements, snapshot *endpoint.Snapshot) time.Duration {
 	var gaps []time.Duration
 	for _, g := range snapshot.Groups {
 		if h := p.health[g.Name]; g.Model == w.Model && h != nil && h.meanGap > 0 {
--- a/internal/picker/cold_test.go
+++ b/internal/picker/cold_test.go
@@ -79,7 +79,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // fixed seed for reproducibility
 				f := newColdFleet(test.nodes, test.delay)
-				want := &picker.Want{Service: "plain", ColdPerSecond: perSecond, ColdFor: time.Hour}
+				want := &picker.Requirements{Service: "plain", ColdPerSecond: perSecond, ColdFor: time.Hour}
 				for range test.delay + 1 {
 					f.beat()
 				}
--- a/internal/picker/leaving_test.go
+++ b/internal/picker/leaving_test.go
@@ -28,7 +28,7 @@
 		return &endpoint.Endpoint{ID: endpoint.InstanceID("i-1", born), Service: "s"}
 	}
 	f.directory.Apply([]*endpoint.Endpoint{instance(1)}, nil, time.Now())
-	w := &picker.Want{Service: "s"}
+	w := &picker.Requirements{Service: "s"}
 	f.acquire(t, w).RecordLeaving(time.Now())
 	_, err := f.picker.Acquire(context.Background(), w)
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("%v", err))
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -69,7 +69,7 @@
 }
 
 // Acquire returns a place for the request. It waits for one for up to w.MaxWait.
-func (p *Picker) Acquire(ctx context.Context, w *Want) (*Place, error) {
+func (p *Picker) Acquire(ctx context.Context, w *Requirements) (*Place, error) {
 	p.mu.Lock()
 	p.recordArrival(w, clock.Now())
 	if !p.hasWaiterFor(w) {
@@ -108,7 +108,7 @@
 }
 
 // recordArrival counts a request in its model's arrival rates. Requests without a model are not counted.
-func (p *Picker) recordArrival(w *Want, now time.Time) {
+func (p *Picker) recordArrival(w *Requirements, now time.Time) {
 	if w.Model == "" {
 		return
 	}
@@ -120,7 +120,7 @@
 
 // tryAcquire returns a place if one is free, and neither a place nor an error if the request has to wait. With useQueue set it
 // also takes a place in the queue of a full replica group.
-func (p *Picker) tryAcquire(w *Want, now time.Time, useQueue bool) (*Place, error) {
+func (p *Picker) tryAcquire(w *Requirements, now time.Time, useQueue bool) (*Place, error) {
 	others := p.options.Others(now)
 	p.options.Limits.MergeReports(others.Limits, now)
 	candidates := p.candidates(w, others, now)
@@ -150,14 +150,14 @@
 }
 
 // best returns the cheapest candidate: for replica groups the cheapest of a random sample, otherwise the cheapest of all.
-func (p *Picker) best(w *Want, candidates []candidate) candidate {
+func (p *Picker) best(w *Requirements, candidates []candidate) candidate {
 	if w.Model != "" {
 		candidates = p.sample(candidates)
 	}
 	return slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 }
 
-func (p *Picker) reserve(w *Want, c *candidate, now time.Time) *Place {
+func (p *Picker) reserve(w *Requirements, c *candidate, now time.Time) *Place {
 	place := &Place{Endpoint: c.endpoint, Group: c.group, Requests: c.load, picker: p, workspace: w.Workspace, model: w.Model}
 	h := p.healthOf(place.key(), now)
 	h.running++
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -52,9 +52,11 @@
 	f.directory.Apply(members, nil, time.Now())
 }
 
-func want() *picker.Want { return &picker.Want{Service: "lm", Model: "m", Slots: 4, Size: 2} }
+func want() *picker.Requirements {
+	return &picker.Requirements{Service: "lm", Model: "m", Slots: 4, Size: 2}
+}
 
-func (f *fleet) acquire(t *testing.T, w *picker.Want) *picker.Place {
+func (f *fleet) acquire(t *testing.T, w *picker.Requirements) *picker.Place {
 	t.Helper()
 	place, err := f.picker.Acquire(context.Background(), w)
 	qt.Assert(t, err, qt.IsNil)
@@ -219,14 +221,14 @@
 		{ID: "good", Service: "plain", DataCentre: "far"}, {ID: "bad", Service: "plain", DataCentre: "near"},
 		{ID: "leaving", Service: "plain", DataCentre: "near", Draining: true},
 	}, nil, time.Now())
-	w := &picker.Want{Service: "plain", Exclude: nil}
+	w := &picker.Requirements{Service: "plain", Exclude: nil}
 	first := f.acquire(t, w)
 	qt.Check(t, first.Endpoint.ID, qt.Equals, "bad")
 	for range 10 {
 		first.RecordFailure(false, time.Now())
 	}
 	qt.Check(t, f.acquire(t, w).Endpoint.ID, qt.Equals, "good", qt.Commentf("the other endpoint has failed too often"))
-	qt.Check(t, f.acquire(t, &picker.Want{Service: "plain", Exclude: []string{"good"}}).Endpoint.ID, qt.Equals, "bad")
+	qt.Check(t, f.acquire(t, &picker.Requirements{Service: "plain", Exclude: []string{"good"}}).Endpoint.ID, qt.Equals, "bad")
 }
 
 func TestStalledGroupIsReportedOnce(t *testing.T) {
@@ -250,7 +252,7 @@
 	f.directory.Evacuate(map[string]bool{"near": true}, time.Now())
 	f.directory.Apply([]*endpoint.Endpoint{{ID: "p-far", Service: "plain", DataCentre: "far"}}, nil, time.Now())
 	for range 8 {
-		engine, plain := f.acquire(t, want()), f.acquire(t, &picker.Want{Service: "plain"})
+		engine, plain := f.acquire(t, want()), f.acquire(t, &picker.Requirements{Service: "plain"})
 		qt.Check(t, engine.Group, qt.Equals, "g-far")
 		qt.Check(t, plain.Endpoint.ID, qt.Equals, "p-far")
 		engine.Release()
@@ -266,7 +268,7 @@
 
 func TestColdEndpointsGetFewRequestsAtOnce(t *testing.T) {
 	const perSecond = 8
-	cold := &picker.Want{Service: "plain", ColdPerSecond: perSecond, ColdFor: time.Hour}
+	cold := &picker.Requirements{Service: "plain", ColdPerSecond: perSecond, ColdFor: time.Hour}
 	taken := func(f *fleet) int {
 		for n := range 10 {
 			if _, err := f.picker.Acquire(context.Background(), cold); err != nil {
--- a/internal/picker/queue.go
+++ b/internal/picker/queue.go
@@ -9,12 +9,12 @@
 
 // waiter is a request that waits for a place.
 type waiter struct {
-	want    *Want
+	want    *Requirements
 	arrived time.Time
 	granted chan *Place
 }
 
-func (p *Picker) enqueue(w *Want) *waiter {
+func (p *Picker) enqueue(w *Requirements) *waiter {
 	q := &waiter{want: w, arrived: clock.Now(), granted: make(chan *Place, 1)}
 	p.waiting = append(p.waiting, q)
 	p.waitingByModel[w.Model]++
@@ -29,7 +29,7 @@
 }
 
 // hasWaiterFor reports whether a request for the same service and model, at least as urgent, is already waiting.
-func (p *Picker) hasWaiterFor(w *Want) bool {
+func (p *Picker) hasWaiterFor(w *Requirements) bool {
 	for _, q := range p.waiting {
 		if q.want.Service == w.Service && q.want.Model == w.Model && q.want.Priority <= w.Priority {
 			return true
--- a/internal/picker/remote_cost_test.go
+++ b/internal/picker/remote_cost_test.go
@@ -16,7 +16,7 @@
 		others := gossip.NewTotals()
 		others.Demands["m"] = gossip.Demand{Running: running, Mix: engine.Mix{PerSecond: perSecond, Tokens: perSecond * tokens, Squares: perSecond * tokens * tokens}}
 		p := New(Options{})
-		return p.remoteCost(&Want{Model: "m", Engine: engine.Model{Figures: figures}}, others, 10, time.Now())
+		return p.remoteCost(&Requirements{Model: "m", Engine: engine.Model{Figures: figures}}, others, 10, time.Now())
 	}
 	short, long := cost(200, 100, 100), cost(200, 1000, 100)
 	qt.Check(t, long < 1 && long < short, qt.IsTrue, qt.Commentf("cost with long prompts %v, with short ones %v", long, short))
--- a/internal/picker/sample_test.go
+++ b/internal/picker/sample_test.go
@@ -36,7 +36,7 @@
 			Retiring: func(time.Time) map[string]bool { return nil },
 		})
 		p.randomState = uint64(node) * 0x9e3779b97f4a7c15
-		place, err := p.Acquire(context.Background(), &Want{Service: "lm", Model: "m", Slots: 20, Size: 1})
+		place, err := p.Acquire(context.Background(), &Requirements{Service: "lm", Model: "m", Slots: 20, Size: 1})
 		qt.Assert(t, err, qt.IsNil)
 		out[place.Group]++
 	}
--- a/internal/picker/standalone.go
+++ b/internal/picker/standalone.go
@@ -17,7 +17,7 @@
 )
 
 // standaloneCandidates returns the standalone endpoints that may take the request.
-func (p *Picker) standaloneCandidates(w *Want, snapshot *endpoint.Snapshot, others *gossip.Totals, now time.Time) []candidate {
+func (p *Picker) standaloneCandidates(w *Requirements, snapshot *endpoint.Snapshot, others *gossip.Totals, now time.Time) []candidate {
 	var out []candidate
 	for _, e := range snapshot.Services[w.Service] {
 		if e.Draining || w.excludes(e.ID) || snapshot.Evacuated[e.DataCentre] {
--- a/internal/picker/want.go
+++ b/internal/picker/want.go
@@ -13,8 +13,8 @@
 // ErrNoEndpoint is returned when no endpoint serves the wanted service and model. The request has not been sent.
 var ErrNoEndpoint = errors.New("no endpoint that serves it is left")
 
-// Want describes the place that a request needs.
-type Want struct {
+// Requirements describes the place that a request needs.
+type Requirements struct {
 	Service string
 	Model   string // empty for standalone endpoints
 	Slots   int    // requests that a replica group runs at once
@@ -34,7 +34,7 @@
 	MaxWait       time.Duration // longest wait for a place
 }
 
-func (w *Want) excludes(key string) bool {
+func (w *Requirements) excludes(key string) bool {
 	for _, e := range w.Exclude {
 		if e == key {
 			return true
@@ -48,4 +48,4 @@
 const coldWindowSeconds = 0.25
 
 // coldLimit returns how many concurrent requests a cold endpoint may have.
-func (w *Want) coldLimit() int { return max(1, int(coldWindowSeconds*w.ColdPerSecond)) }
+func (w *Requirements) coldLimit() int { return max(1, int(coldWindowSeconds*w.ColdPerSecond)) }
--- a/internal/picker/way.go
+++ b/internal/picker/way.go
@@ -20,10 +20,10 @@
 // remoteCost returns the cost of a group in another data centre, in requests. One more request at a group with long prompts
 // delays its answers by several milliseconds, so that the round trip costs less than one request; with short prompts it costs
 // up to three.
-func (p *Picker) remoteCost(w *Want, others *gossip.Totals, groups int, now time.Time) float64 {
+func (p *Picker) remoteCost(w *Requirements, others *gossip.Totals, groups int, now time.Time) float64 {
 	demand := others.Demands[w.Model].Plus(p.demandOf(w.Model, now))
 	running := float64(demand.Running) / float64(max(1, groups))
-	added := w.Engine.Marginal(demand.Mix.Part(groups), running)
+	added := w.Engine.MarginalDelay(demand.Mix.Part(groups), running)
 	if added <= 0 {
 		return defaultRemoteCost
 	}
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -173,7 +173,7 @@
 	return grant
 }
 
-// check reports a breach of the invariant PlacesHeld if a group has been overcommitted for longer than a change of
+// check reports a breach of the invariant PlacesWithinCapacity if a group has been overcommitted for longer than a change of
 // its places may take to be applied.
 func (s *Server) check(p *lockedPool, now time.Time) {
 	id, held, places, over := p.pool.Overcommitted()
@@ -183,7 +183,7 @@
 		p.overSince = now
 	}
 	settleTime := allocator.GrantLifetime + 2*time.Second
-	s.checker.Hold(invariant.PlacesHeld, !over || now.Sub(p.overSince) < settleTime, func() []any {
+	s.checker.Check(invariant.PlacesWithinCapacity, !over || now.Sub(p.overSince) < settleTime, func() []any {
 		return []any{"group", id, "held", held, "places", places}
 	})
 }
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -53,7 +53,7 @@
 
 // hasLife reports whether the same life of an endpoint is already recorded.
 func (e *entry) hasLife(ending Ending) bool {
-	return slices.ContainsFunc(e.endings, func(known Ending) bool { return known.Life == ending.Life })
+	return slices.ContainsFunc(e.endings, func(known Ending) bool { return known.InstanceHash == ending.InstanceHash })
 }
 
 // suspected reports whether enough endpoints have ended under the request and none has answered it.
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -141,7 +141,7 @@
 	content := binary.BigEndian.AppendUint64(nil, uint64(f))
 	lives := make([]uint32, 0, len(e.endings))
 	for _, ending := range e.endings {
-		lives = append(lives, ending.Life)
+		lives = append(lives, ending.InstanceHash)
 	}
 	slices.Sort(lives)
 	for _, life := range lives {
--- a/internal/quarantine/list_syncer.go
+++ b/internal/quarantine/list_syncer.go
@@ -39,9 +39,9 @@
 	Recent func(ctx context.Context, prefix string) (infra.Listing, error)
 	// LeaderEpoch returns the epoch in which this node is the leader, or zero if it is not the leader.
 	LeaderEpoch func(now time.Time) int64
-	// Alone reports whether this node hears no other node.
-	Alone  func(now time.Time) bool
-	Logger log.Logger
+	// HasNoPeers reports whether this node receives heartbeats from no other node.
+	HasNoPeers func(now time.Time) bool
+	Logger     log.Logger
 	// FirstStart means that the fleet starts for the first time, so that there is no list to restore.
 	FirstStart bool
 
@@ -79,7 +79,7 @@
 
 // isIsolated reports whether this node does not lead and has heard no other node for isolationDelay.
 func (k *HoldSyncer) isIsolated(now time.Time) bool {
-	if k.LeaderEpoch(now) > 0 || !k.Alone(now) {
+	if k.LeaderEpoch(now) > 0 || !k.HasNoPeers(now) {
 		k.isolatedSince = time.Time{}
 		return false
 	}
--- a/internal/quarantine/list_syncer_test.go
+++ b/internal/quarantine/list_syncer_test.go
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	k := &quarantine.HoldSyncer{
-		Table: table, Objects: s, Recent: s.listRecent, LeaderEpoch: func(time.Time) int64 { return epoch }, Alone: func(time.Time) bool { return s.isolated }, Logger: log.NewNopLogger(),
+		Table: table, Objects: s, Recent: s.listRecent, LeaderEpoch: func(time.Time) int64 { return epoch }, HasNoPeers: func(time.Time) bool { return s.isolated }, Logger: log.NewNopLogger(),
 	}
 	go func() { _ = k.Run(ctx) }()
 	for _, do := range during {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -8,12 +8,12 @@
 	"moorrun.dev/moorrun/internal/endpoint"
 )
 
-// Ending is the termination of one process of an endpoint. Life and Domain are 32-bit hashes: two of the few lives recorded
-// for a request collide with a probability of about 1 in 10^9.
+// Ending is the termination of one process of an endpoint. InstanceHash and Domain are 32-bit hashes: two of the few
+// instances recorded for a request collide with a probability of about 1 in 10^9.
 type Ending struct {
-	Life   uint32 // hash of the endpoint id, which differs for each start of its process
-	Domain uint32 // hash of the fabric domain, or of the data centre if there is none; its endpoints can be lost together
-	At     time.Time
+	InstanceHash uint32 // hash of the endpoint id, which differs for each start of its process
+	Domain       uint32 // hash of the fabric domain, or of the data centre if there is none; its endpoints can be lost together
+	At           time.Time
 }
 
 // EndingOf returns the ending of the endpoint's current process, noticed at the given time.
@@ -22,13 +22,13 @@
 	if e.Domain == "" {
 		domain = "data centre/" + e.DataCentre
 	}
-	return Ending{Life: lifeHash(e), Domain: hash(domain), At: at}
+	return Ending{InstanceHash: lifeHash(e), Domain: hash(domain), At: at}
 }
 
 // asSeparateIncident returns the ending in a domain of its own, so that it is counted separately. It is used for endpoints
 // that received the request after another endpoint had failed it: endpoints lost with their domain end before that.
 func (e Ending) asSeparateIncident() Ending {
-	e.Domain = e.Life
+	e.Domain = e.InstanceHash
 	return e
 }
 
--- a/internal/quarantine/stored_list.go
+++ b/internal/quarantine/stored_list.go
@@ -43,7 +43,7 @@
 	for _, r := range sorted[:min(len(sorted), maxStoredRequests)] {
 		stored := StoredRequest{Fingerprint: r.Fingerprint.String(), HoldMillis: r.Hold.Milliseconds()}
 		for _, e := range r.Endings {
-			stored.Endings = append(stored.Endings, StoredEnding{e.Life, e.Domain, now.Sub(e.At).Milliseconds()})
+			stored.Endings = append(stored.Endings, StoredEnding{e.InstanceHash, e.Domain, now.Sub(e.At).Milliseconds()})
 		}
 		k.Requests = append(k.Requests, stored)
 	}
@@ -66,7 +66,7 @@
 		record := Record{Fingerprint: Fingerprint(f), Hold: hold}
 		for _, e := range r.Endings {
 			at := now.Add(-time.Duration(e.AgeMillis) * time.Millisecond)
-			record.Endings = append(record.Endings, Ending{Life: e.Life, Domain: e.Domain, At: at})
+			record.Endings = append(record.Endings, Ending{InstanceHash: e.Life, Domain: e.Domain, At: at})
 		}
 		out = append(out, record)
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -18,7 +18,7 @@
 
 // newEnding returns the ending of an endpoint in a domain of its own.
 func newEnding(i int) quarantine.Ending {
-	return quarantine.Ending{Life: uint32(i), Domain: uint32(i), At: time.Now()}
+	return quarantine.Ending{InstanceHash: uint32(i), Domain: uint32(i), At: time.Now()}
 }
 
 // recordEndings records the endings numbered from to to, inclusive, against the requests.
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -22,7 +22,7 @@
 // Router selects the replica groups that requests may be sent to.
 type Router struct {
 	drains      *drains.Reader
-	assignments *domains.Book
+	assignments *domains.Reader
 	evidence    *evidence.Table
 	current     func() *config.Config
 
@@ -44,8 +44,8 @@
 }
 
 // New returns a Router over the drains, the assignments, the evidence and the configuration that the node has.
-func New(d *drains.Reader, assignmentBook *domains.Book, evidenceTable *evidence.Table, current func() *config.Config) *Router {
-	return &Router{drains: d, assignments: assignmentBook, evidence: evidenceTable, current: current, health: make(map[targetKey]*health)}
+func New(d *drains.Reader, assignments *domains.Reader, evidenceTable *evidence.Table, current func() *config.Config) *Router {
+	return &Router{drains: d, assignments: assignments, evidence: evidenceTable, current: current, health: make(map[targetKey]*health)}
 }
 
 // Target returns the target of a group and whether requests may be sent to it now.
--- a/internal/server/changes.go
+++ b/internal/server/changes.go
@@ -87,7 +87,7 @@
 func (n *Server) neededForRouting(e *endpoint.Endpoint) bool {
 	if t := n.table.Load(); t != nil {
 		if s := t.Service(e.Service); s != nil && s.Engine != nil {
-			return e.Heads()
+			return e.IsOpenHead()
 		}
 	}
 	return true
--- a/internal/server/quarantine.go
+++ b/internal/server/quarantine.go
@@ -17,7 +17,7 @@
 	n.quarantine.OnHeld = n.logHeld
 	n.gossip.Quarantine = n.quarantine
 	endings := n.scope.Counter("endpoint_endings")
-	n.inquiry = &quarantine.Investigator{
+	n.investigator = &quarantine.Investigator{
 		Table: n.quarantine, Directory: n.directory, Probe: n.probeEndpoint, Logger: n.logger,
 		OnEnding: func(held bool) {
 			endings.Inc(1)
@@ -29,7 +29,7 @@
 	n.quarantineKeeper = &quarantine.HoldSyncer{
 		Table: n.quarantine, Objects: n.platform.Objects, Recent: n.platform.Recent, Logger: n.logger, FirstStart: n.settings.FirstStart,
 		LeaderEpoch: func(now time.Time) int64 { return n.controller.Leads(now) },
-		Alone:       func(now time.Time) bool { return len(n.gossip.Live(now)) == 0 },
+		HasNoPeers:  func(now time.Time) bool { return len(n.gossip.Live(now)) == 0 },
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -68,7 +68,7 @@
 	picker              *picker.Picker
 	gateway             *gateway.Gateway
 	quarantine          *quarantine.Table
-	inquiry             *quarantine.Investigator
+	investigator        *quarantine.Investigator
 	quarantineKeeper    *quarantine.HoldSyncer
 	rpc                 *gossip.Server
 	reporter            *metrics.Reporter
@@ -152,7 +152,7 @@
 	n.gateway = gateway.New(gateway.Options{
 		Table: n.table.Load, Proof: func() time.Time { return n.follower.Current(keys.Accepted) }, ProofLimit: s.CredentialProof(),
 		ProofOptional: !s.CredentialProofRequired,
-		Picker:        n.picker, Quarantine: n.quarantine, Inquiry: n.inquiry, Limits: retry.Limits{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow()},
+		Picker:        n.picker, Quarantine: n.quarantine, Investigator: n.investigator, Limits: retry.Limits{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow()},
 		Nodes:      n.nodeCounts,
 		RequestLog: func(id string) gateway.RequestLog { return decisions.Request(id) },
 		Scope:      n.scope,
@@ -229,7 +229,7 @@
 		n.picker.Sweep(now)
 		n.rates.Sweep(now)
 		n.quarantine.Sweep(now)
-		n.inquiry.Sweep(now)
+		n.investigator.Sweep(now)
 	})
 	return nil
 }
