--- a/internal/endpoint/directory.go
+++ b/internal/endpoint/directory.go
@@ -21,12 +21,12 @@
 	leaving map[string]time.Time // when an instance announced that it leaves, by instance ID
 }
 
-// NewDirectory returns an empty Directory. beat is the interval at which endpoints rewrite their entries.
-func NewDirectory(beat time.Duration) *Directory {
+// NewDirectory returns an empty Directory. heartbeat is the interval at which endpoints rewrite their entries.
+func NewDirectory(heartbeat time.Duration) *Directory {
 	d := &Directory{leaving: make(map[string]time.Time)}
 	d.current.Store(&Snapshot{
 		Endpoints: map[string]*Endpoint{}, Services: map[string][]*Endpoint{}, Groups: map[string]*Group{}, Gone: map[string]Gone{},
-		Returned: map[string]time.Time{}, beat: beat,
+		Returned: map[string]time.Time{}, heartbeat: heartbeat,
 	})
 	return d
 }
@@ -52,7 +52,7 @@
 		Endpoints: make(map[string]*Endpoint, len(old.Endpoints)+len(changed)),
 		Services:  make(map[string][]*Endpoint, len(old.Services)),
 		Gone:      make(map[string]Gone, len(old.Gone)+len(removed)),
-		Evacuated: old.Evacuated, Returned: old.Returned, RoutingOnly: old.RoutingOnly, beat: old.beat,
+		Evacuated: old.Evacuated, Returned: old.Returned, RoutingOnly: old.RoutingOnly, heartbeat: old.heartbeat,
 	}
 	for id, g := range old.Gone {
 		if now.Sub(g.At) < goneRetention {
--- a/internal/endpoint/directory_test.go
+++ b/internal/endpoint/directory_test.go
@@ -79,7 +79,7 @@
 	qt.Check(t, d.Read().Groups["g"].Draining(), qt.IsTrue)
 }
 
-func TestEndpointThatStartsAgainUnderItsIDTakesThePlaceOfItsEarlierLife(t *testing.T) {
+func TestRestartedEndpointReplacesItsEarlierInstance(t *testing.T) {
 	d := endpoint.NewDirectory(time.Second)
 	first := &endpoint.Endpoint{ID: endpoint.InstanceID("i-1", 100), Service: "s", Models: []string{"m"}, Membership: &endpoint.Membership{Group: "g", Epoch: 1, State: endpoint.Open}}
 	d.Apply([]*endpoint.Endpoint{first, {ID: endpoint.InstanceID("i-2", 100), Service: "s"}}, nil, time.Now())
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -54,13 +54,13 @@
 const instanceSeparator = "@"
 
 // InstanceID returns the ID of one instance of an endpoint. An endpoint may restart under the same listed ID, and then has no
-// state of its earlier instance. born is the start of the instance in Unix milliseconds by the endpoint's own clock; if it is
+// state of its earlier instance. started is the start of the instance in Unix milliseconds by the endpoint's own clock; if it is
 // zero, the endpoint does not report its start and the listed ID is the instance ID.
-func InstanceID(listed string, born int64) string {
-	if born == 0 {
+func InstanceID(listed string, started int64) string {
+	if started == 0 {
 		return listed
 	}
-	return listed + instanceSeparator + strconv.FormatInt(born, 10)
+	return listed + instanceSeparator + strconv.FormatInt(started, 10)
 }
 
 // ListedID returns the ID under which the platform lists the endpoint with the given instance ID.
--- a/internal/endpoint/snapshot.go
+++ b/internal/endpoint/snapshot.go
@@ -17,7 +17,7 @@
 	// opened the group has seen all its members ready.
 	RoutingOnly bool
 
-	beat time.Duration // interval at which endpoints write their entries; one that becomes cold writes so within it
+	heartbeat time.Duration // interval at which endpoints write their entries; one that becomes cold writes so within it
 }
 
 // Gone is an endpoint that is no longer listed. It may have ended, be leaving, or be cut off from the platform.
@@ -37,5 +37,5 @@
 		return true
 	}
 	back, known := s.Returned[e.DataCentre]
-	return known && now.Sub(back) < coldFor+s.beat+maxCopyAge
+	return known && now.Sub(back) < coldFor+s.heartbeat+maxCopyAge
 }
