--- a/internal/engine/mix.go
+++ b/internal/engine/mix.go
@@ -19,9 +19,9 @@
 	return m.Tokens / m.PerSecond
 }
 
-// large returns the length, in tokens, of the prompt that an average token belongs to. It equals the mean prompt length if all
-// prompts are equally long, and twice the mean if the standard deviation of their lengths equals the mean.
-func (m *Mix) large() float64 { return m.Squares / m.Tokens }
+// tokenWeightedMean returns the length, in tokens, of the prompt that an average token belongs to. It equals the mean prompt length
+// if all prompts are equally long, and twice the mean if the standard deviation of their lengths equals the mean.
+func (m *Mix) tokenWeightedMean() float64 { return m.Squares / m.Tokens }
 
 // Add adds the requests of another mix, such as that of another node.
 func (m *Mix) Add(other Mix) {
--- a/internal/engine/model.go
+++ b/internal/engine/model.go
@@ -43,7 +43,7 @@
 }
 
 func (m *Model) firstEvent(tokens float64, mix Mix) float64 {
-	reading := m.Reading(mix)
+	reading := m.ReadingFraction(mix)
 	if reading >= 1 {
 		return math.Inf(1)
 	}
@@ -57,9 +57,9 @@
 	return remaining + own
 }
 
-// Reading returns the fraction of its time that a group spends on reading prompts when it gets the given mix. A value above 1
-// means that it cannot keep up.
-func (m *Model) Reading(mix Mix) float64 {
+// ReadingFraction returns the fraction of its time that a group spends on reading prompts when it gets the given mix. A value
+// above 1 means that it cannot keep up.
+func (m *Model) ReadingFraction(mix Mix) float64 {
 	if mix.Tokens <= 0 {
 		return 0
 	}
@@ -73,12 +73,12 @@
 	if !m.Figures.Known() || mix.PerSecond <= 0 || mix.Tokens <= 0 || mix.Objective <= 0 {
 		return 0, false
 	}
-	saturation := mix.PerSecond / m.Reading(mix) // the rate at which the group reads all the time
+	saturation := mix.PerSecond / m.ReadingFraction(mix) // the rate at which the group reads all the time
 	allowed := objectiveFraction * mix.Objective.Seconds()
 	low, high := minReadingFraction, 1.0
 	for range searchSteps {
 		fraction := (low + high) / 2
-		if m.firstEvent(mix.large(), mix.scaled(fraction*saturation)) <= allowed {
+		if m.firstEvent(mix.tokenWeightedMean(), mix.scaled(fraction*saturation)) <= allowed {
 			low = fraction
 		} else {
 			high = fraction
@@ -87,14 +87,14 @@
 	return low * saturation, true
 }
 
-// MarginalDelay returns by how much one more running request delays the first event of a mean prompt at a group that gets the given
-// mix and runs the given number of requests. The arrival rate is taken to grow in proportion to the running requests.
+// MarginalDelay returns by how much one more running request delays the first event of a mean prompt at a group that gets the
+// given mix and runs the given number of requests. The arrival rate is taken to grow in proportion to the running requests.
 func (m *Model) MarginalDelay(mix Mix, running float64) time.Duration {
 	if !m.Figures.Known() || mix.PerSecond <= 0 || running <= 0 {
 		return 0
 	}
 	increased := mix.scaled(mix.PerSecond * (1 + 1/running))
-	if m.Reading(increased) >= 1 {
+	if m.ReadingFraction(increased) >= 1 {
 		return math.MaxInt64
 	}
 	return time.Duration((m.firstEvent(mix.mean(), increased) - m.firstEvent(mix.mean(), mix)) * float64(time.Second))
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -38,7 +38,7 @@
 	// on average, and 5 ms more since requests arrive more often during long passes. The pass that reads the prompt takes 62 ms,
 	// and 42 ms more to read other prompts.
 	mix := uniformMix(25, 1000)
-	qt.Check(t, m.Reading(mix), qt.Equals, 0.5)
+	qt.Check(t, m.ReadingFraction(mix), qt.Equals, 0.5)
 	checkClose(t, m.FirstEvent(1000, mix), (42+5+62+42)*time.Millisecond)
 }
 
@@ -87,7 +87,7 @@
 			t.Fatalf("capacity %v, predicted %v", capacity, predicted)
 		}
 		at := uniformMix(capacity, tokens)
-		if m.Reading(at) > 0.301 && m.FirstEvent(tokens, at) > mix.Objective*2/3+time.Millisecond {
+		if m.ReadingFraction(at) > 0.301 && m.FirstEvent(tokens, at) > mix.Objective*2/3+time.Millisecond {
 			t.Fatalf("capacity of %v requests per second with the first event after %v; objective %v", capacity, m.FirstEvent(tokens, at), mix.Objective)
 		}
 		tighter := mix
