--- a/internal/exitcode/exitcode.go
+++ b/internal/exitcode/exitcode.go
@@ -16,7 +16,7 @@
 
 // The exit codes of moorrun and moorrund.
 const (
-	Done     = 0 // success
+	Success  = 0
 	Failed   = 1 // any other error
 	Usage    = 2 // invalid command line or configuration
 	Conflict = 3 // another change was accepted first
@@ -64,7 +64,7 @@
 	root.SilenceErrors, root.SilenceUsage = true, true
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return Done
+		return Success
 	}
 	_, _ = fmt.Fprintln(os.Stderr, root.Name()+": "+err.Error())
 	var coded *Error
