--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -101,12 +101,12 @@
 
 // requestLog is a recorded request log.
 type requestLog struct {
-	events     []string
-	remarkable bool
+	events       []string
+	loggedInFull bool
 }
 
 func (s *requestLog) Decision(event string, _ bool, _ ...any) { s.events = append(s.events, event) }
-func (s *requestLog) End(remarkable bool)                     { s.remarkable = remarkable }
+func (s *requestLog) End(logInFull bool)                      { s.loggedInFull = logInFull }
 
 // testGateway is a gateway with three replica groups and three standalone endpoints.
 type testGateway struct {
@@ -120,8 +120,8 @@
 	finding    quarantine.ProbeResult // result of every probe of an endpoint
 }
 
-// inquiry returns an Investigator whose probes of endpoints all return s.finding.
-func (s *testGateway) inquiry(d *endpoint.Directory) *quarantine.Investigator {
+// newInvestigator returns an Investigator whose probes of endpoints all return s.finding.
+func (s *testGateway) newInvestigator(d *endpoint.Directory) *quarantine.Investigator {
 	return &quarantine.Investigator{
 		Table: s.quarantine, Directory: d, OnEnding: func(bool) {}, Logger: log.NewNopLogger(),
 		Probe: func(context.Context, *endpoint.Endpoint) quarantine.ProbeResult { return s.finding },
@@ -158,7 +158,7 @@
 	s.gateway = gateway.New(gateway.Options{
 		Table: func() *route.Table { return s.table }, Proof: func() time.Time { return s.proof }, ProofLimit: 5 * time.Second,
 		Picker:     picker.New(picker.Options{Directory: d, Others: noOthers, Retiring: func(time.Time) map[string]bool { return nil }, Lost: func(string, time.Time) bool { return s.lost }}),
-		Quarantine: s.quarantine, Investigator: s.inquiry(d),
+		Quarantine: s.quarantine, Investigator: s.newInvestigator(d),
 		Limits: retry.Limits{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}, Nodes: func() retry.Nodes { return retry.Nodes{All: 1, Busy: 1} }, RequestLog: s.newRequestLog, Scope: tally.NoopScope,
 	})
 	return s
@@ -331,7 +331,7 @@
 func TestUnsuccessfulAndResentRequestsAreLoggedInFull(t *testing.T) {
 	s := newTestGateway()
 	s.serve("/stream/a", script{head: streamHead, events: []string{"1", "2"}})
-	qt.Check(t, s.lastLog.remarkable, qt.IsFalse)
+	qt.Check(t, s.lastLog.loggedInFull, qt.IsFalse)
 	for name, scripts := range map[string][]script{
 		"refused": {{head: notRunHead}},
 		"resent":  {{sendErr: errNotRun}, {head: streamHead, events: []string{"1"}}},
@@ -339,8 +339,8 @@
 		"cut off": {{head: streamHead, events: []string{"1"}, broken: errMayHaveRun}},
 	} {
 		s.serve("/stream/a", scripts...)
-		qt.Check(t, s.lastLog.remarkable, qt.IsTrue, qt.Commentf(name))
+		qt.Check(t, s.lastLog.loggedInFull, qt.IsTrue, qt.Commentf(name))
 	}
 	s.serve("/again/a", script{silent: true}, script{head: okHead})
-	qt.Check(t, s.lastLog.remarkable, qt.IsTrue, qt.Commentf("sent twice"))
+	qt.Check(t, s.lastLog.loggedInFull, qt.IsTrue, qt.Commentf("sent twice"))
 }
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -33,6 +33,6 @@
 type RequestLog interface {
 	// Decision logs a decision; pairs are alternating keys and values.
 	Decision(event string, failure bool, pairs ...any)
-	// End ends the log. With remarkable set the request is logged in full even if it is not one of the sampled requests.
-	End(remarkable bool)
+	// End ends the log. With logInFull set the request is logged in full even if it is not one of the sampled requests.
+	End(logInFull bool)
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -33,17 +33,17 @@
 	return nil
 }
 
-// reportFailure reports an attempt without a complete answer to the inquiry: if its endpoint has ended, that counts against the
+// reportFailure reports an attempt without a complete answer to the investigator: if its endpoint has ended, that counts against the
 // request.
 func (f *activeRequest) reportFailure(ctx context.Context, place *picker.Place, err error) {
-	inquiry := f.gateway.Investigator
+	investigator := f.gateway.Investigator
 	switch {
 	case verdict.Of(err) == verdict.NotRun:
-		inquiry.Refused(place.Endpoint)
+		investigator.Refused(place.Endpoint)
 	case ctx.Err() != nil, errors.Is(err, errHedged), errors.Is(err, errStalled), errors.Is(err, errCallerGone):
-		inquiry.Abandoned(place.Endpoint, f.fingerprint)
+		investigator.Abandoned(place.Endpoint, f.fingerprint)
 	default:
-		inquiry.Failed(place.Endpoint, f.fingerprint, f.sends > 1)
+		investigator.Failed(place.Endpoint, f.fingerprint, f.sends > 1)
 	}
 }
 
