--- a/internal/picker/cold_test.go
+++ b/internal/picker/cold_test.go
@@ -46,7 +46,7 @@
 	return total
 }
 
-func (f *coldFleet) beat() {
+func (f *coldFleet) exchangeReports() {
 	var statuses []gossip.Status
 	for _, p := range f.pickers {
 		s := gossip.Status{Busy: 1}
@@ -57,7 +57,7 @@
 }
 
 // Guards against all nodes together sending a cold endpoint more requests in a second than it can take, however fast it answers.
-func TestAllNodesTogetherKeepToWhatAColdEndpointBears(t *testing.T) {
+func TestAllNodesTogetherKeepToTheRateOfAColdEndpoint(t *testing.T) {
 	const (
 		perSecond = 18
 		allowed   = 1.5*perSecond + 5
@@ -79,17 +79,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(1, 2)) //nolint:gosec // fixed seed for reproducibility
 				f := newColdFleet(test.nodes, test.delay)
-				want := &picker.Requirements{Service: "plain", ColdPerSecond: perSecond, ColdFor: time.Hour}
+				requirements := &picker.Requirements{Service: "plain", ColdPerSecond: perSecond, ColdFor: time.Hour}
 				for range test.delay + 1 {
-					f.beat()
+					f.exchangeReports()
 				}
 				var sent []time.Duration
 				for at := time.Duration(0); at < end; at += step {
 					if at%beat == 0 {
-						f.beat()
+						f.exchangeReports()
 					}
 					if random.Float64() < pressure*step.Seconds() {
-						if place, err := f.pickers[random.IntN(test.nodes)].Acquire(context.Background(), want); err == nil {
+						if place, err := f.pickers[random.IntN(test.nodes)].Acquire(context.Background(), requirements); err == nil {
 							sent = append(sent, at)
 							time.AfterFunc(test.answers, place.Release)
 						}
--- a/internal/picker/leaving_test.go
+++ b/internal/picker/leaving_test.go
@@ -15,17 +15,17 @@
 func TestEndpointThatAnnouncedItLeavesGetsNoRequests(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
-	place := f.acquire(t, want())
+	place := f.acquire(t, requirements())
 	place.RecordLeaving(time.Now())
 	place.Release()
-	_, err := f.picker.Acquire(context.Background(), want())
+	_, err := f.picker.Acquire(context.Background(), requirements())
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("%v", err))
 }
 
 func TestRestartedEndpointGetsRequestsAfterItLeft(t *testing.T) {
 	f := newFleet()
-	instance := func(born int64) *endpoint.Endpoint {
-		return &endpoint.Endpoint{ID: endpoint.InstanceID("i-1", born), Service: "s"}
+	instance := func(started int64) *endpoint.Endpoint {
+		return &endpoint.Endpoint{ID: endpoint.InstanceID("i-1", started), Service: "s"}
 	}
 	f.directory.Apply([]*endpoint.Endpoint{instance(1)}, nil, time.Now())
 	w := &picker.Requirements{Service: "s"}
--- a/internal/picker/limit_test.go
+++ b/internal/picker/limit_test.go
@@ -17,11 +17,11 @@
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "near", endpoint.Open, endpoint.Ready)
-	limited := f.acquire(t, want())
+	limited := f.acquire(t, requirements())
 	limited.RecordLimit(ratelimit.Limit{PerSecond: 0.1, Named: true}, time.Now(), time.Now())
 	for range 4 + 2 { // the slots and the queue of the other group
-		qt.Check(t, f.acquire(t, want()).Group, qt.Not(qt.Equals), limited.Group)
+		qt.Check(t, f.acquire(t, requirements()).Group, qt.Not(qt.Equals), limited.Group)
 	}
-	_, err := f.picker.Acquire(context.Background(), want())
+	_, err := f.picker.Acquire(context.Background(), requirements())
 	qt.Check(t, errors.Is(err, picker.ErrNoPlace), qt.IsTrue, qt.Commentf("%v", err))
 }
--- a/internal/picker/picker_test.go
+++ b/internal/picker/picker_test.go
@@ -52,7 +52,7 @@
 	f.directory.Apply(members, nil, time.Now())
 }
 
-func want() *picker.Requirements {
+func requirements() *picker.Requirements {
 	return &picker.Requirements{Service: "lm", Model: "m", Slots: 4, Size: 2}
 }
 
@@ -69,20 +69,20 @@
 	f.group("ready", "near", endpoint.Ready, endpoint.Ready)
 	f.group("closing", "near", endpoint.Closing, endpoint.Ready)
 	f.group("broken", "near", endpoint.Broken, endpoint.Ready)
-	_, err := f.picker.Acquire(context.Background(), want())
+	_, err := f.picker.Acquire(context.Background(), requirements())
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("%v", err))
 	f.group("open", "far", endpoint.Open, endpoint.Ready)
-	qt.Check(t, f.acquire(t, want()).Endpoint.ID, qt.Equals, "open-0", qt.Commentf("requests go to the head"))
+	qt.Check(t, f.acquire(t, requirements()).Endpoint.ID, qt.Equals, "open-0", qt.Commentf("requests go to the head"))
 }
 
 func TestCompleteGroupKeepsServingWhileAMemberIsNotListed(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
-	f.acquire(t, want())
+	f.acquire(t, requirements())
 	f.directory.Apply(nil, []string{"g-1"}, time.Now())
-	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "g")
+	qt.Check(t, f.acquire(t, requirements()).Group, qt.Equals, "g")
 	f.directory.Apply(nil, []string{"g-0"}, time.Now())
-	_, err := f.picker.Acquire(context.Background(), want())
+	_, err := f.picker.Acquire(context.Background(), requirements())
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue, qt.Commentf("a group without its head does not serve"))
 }
 
@@ -92,7 +92,7 @@
 	head := *f.directory.Read().Endpoints["g-0"]
 	head.Draining = true
 	f.directory.Apply([]*endpoint.Endpoint{&head}, nil, time.Now())
-	_, err := f.picker.Acquire(context.Background(), want())
+	_, err := f.picker.Acquire(context.Background(), requirements())
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue)
 }
 
@@ -100,7 +100,7 @@
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
 	f.retiring["g"] = true
-	_, err := f.picker.Acquire(context.Background(), want())
+	_, err := f.picker.Acquire(context.Background(), requirements())
 	qt.Check(t, errors.Is(err, picker.ErrNoEndpoint), qt.IsTrue)
 }
 
@@ -110,14 +110,14 @@
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
 	dataCentres := map[string]int{}
 	for range 8 {
-		dataCentres[f.acquire(t, want()).Endpoint.DataCentre]++
+		dataCentres[f.acquire(t, requirements()).Endpoint.DataCentre]++
 	}
 	qt.Check(t, dataCentres, qt.DeepEquals, map[string]int{"near": 4, "far": 4}, qt.Commentf("both groups are filled"))
 	first := newFleet()
 	first.group("a", "near", endpoint.Open, endpoint.Ready)
 	first.group("b", "far", endpoint.Open, endpoint.Ready)
 	for range 2 {
-		qt.Check(t, first.acquire(t, want()).Group, qt.Equals, "a")
+		qt.Check(t, first.acquire(t, requirements()).Group, qt.Equals, "a")
 	}
 }
 
@@ -126,13 +126,13 @@
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
 	f.peers = []*gossip.Peer{{Status: gossip.Status{Loads: gossip.Loads{gossip.KeyOf("a-0"): 4}}}}
-	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "b")
+	qt.Check(t, f.acquire(t, requirements()).Group, qt.Equals, "b")
 }
 
 func TestFullGroupsQueueAFewRequestsAndThenNoMore(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
-	w := want()
+	w := requirements()
 	w.MaxWait = time.Millisecond
 	n := 0
 	for {
@@ -151,13 +151,13 @@
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	var held []*picker.Place
 	for range 4 {
-		held = append(held, f.acquire(t, want()))
+		held = append(held, f.acquire(t, requirements()))
 	}
 	got := make(chan int, 2)
 	started := make(chan bool, 2)
 	for _, priority := range []int{5, 1} {
 		go func() {
-			w := want()
+			w := requirements()
 			w.Priority, w.MaxWait = priority, time.Minute
 			started <- true
 			if _, err := f.picker.Acquire(context.Background(), w); err == nil {
@@ -188,22 +188,22 @@
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
 	f.group("b", "far", endpoint.Open, endpoint.Ready)
-	place := f.acquire(t, want())
+	place := f.acquire(t, requirements())
 	qt.Assert(t, place.Group, qt.Equals, "a")
 	place.RecordStall(time.Now())
-	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "b")
+	qt.Check(t, f.acquire(t, requirements()).Group, qt.Equals, "b")
 	var s gossip.Status
 	f.picker.Report(&s, time.Now())
 	_, reported := s.Suspects["a"]
 	qt.Check(t, reported, qt.IsTrue)
 	place.RecordEvent(time.Millisecond, time.Now())
-	qt.Check(t, f.acquire(t, want()).Group, qt.Equals, "a")
+	qt.Check(t, f.acquire(t, requirements()).Group, qt.Equals, "a")
 }
 
 func TestFirstEventTimeoutCountsFromTheGroupsLastEvent(t *testing.T) {
 	f := newFleet()
 	f.group("a", "near", endpoint.Open, endpoint.Ready)
-	waits, runs := f.acquire(t, want()), f.acquire(t, want())
+	waits, runs := f.acquire(t, requirements()), f.acquire(t, requirements())
 	sent := time.Now()
 	_, before := waits.StallDeadlines(sent, false)
 	runs.RecordEvent(20*time.Millisecond, sent.Add(500*time.Millisecond))
@@ -234,7 +234,7 @@
 func TestStalledGroupIsReportedOnce(t *testing.T) {
 	f := newFleet()
 	f.group("g", "near", endpoint.Open, endpoint.Ready)
-	place := f.acquire(t, want())
+	place := f.acquire(t, requirements())
 	now := time.Now()
 	place.RecordStall(now)
 	place.RecordStall(now.Add(time.Millisecond))
@@ -252,7 +252,7 @@
 	f.directory.Evacuate(map[string]bool{"near": true}, time.Now())
 	f.directory.Apply([]*endpoint.Endpoint{{ID: "p-far", Service: "plain", DataCentre: "far"}}, nil, time.Now())
 	for range 8 {
-		engine, plain := f.acquire(t, want()), f.acquire(t, &picker.Requirements{Service: "plain"})
+		engine, plain := f.acquire(t, requirements()), f.acquire(t, &picker.Requirements{Service: "plain"})
 		qt.Check(t, engine.Group, qt.Equals, "g-far")
 		qt.Check(t, plain.Endpoint.ID, qt.Equals, "p-far")
 		engine.Release()
@@ -261,7 +261,7 @@
 	f.directory.Evacuate(nil, time.Now())
 	groups := make(map[string]bool)
 	for range 8 {
-		groups[f.acquire(t, want()).Group] = true
+		groups[f.acquire(t, requirements()).Group] = true
 	}
 	qt.Check(t, groups["g-near"], qt.IsTrue, qt.Commentf("the data centre is back in use"))
 }
--- a/internal/picker/queue.go
+++ b/internal/picker/queue.go
@@ -9,13 +9,13 @@
 
 // waiter is a request that waits for a place.
 type waiter struct {
-	want    *Requirements
-	arrived time.Time
-	granted chan *Place
+	requirements *Requirements
+	arrived      time.Time
+	granted      chan *Place
 }
 
 func (p *Picker) enqueue(w *Requirements) *waiter {
-	q := &waiter{want: w, arrived: clock.Now(), granted: make(chan *Place, 1)}
+	q := &waiter{requirements: w, arrived: clock.Now(), granted: make(chan *Place, 1)}
 	p.waiting = append(p.waiting, q)
 	p.waitingByModel[w.Model]++
 	return q
@@ -24,14 +24,14 @@
 func (p *Picker) dequeue(q *waiter) {
 	if i := slices.Index(p.waiting, q); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
-		p.waitingByModel[q.want.Model]--
+		p.waitingByModel[q.requirements.Model]--
 	}
 }
 
 // hasWaiterFor reports whether a request for the same service and model, at least as urgent, is already waiting.
 func (p *Picker) hasWaiterFor(w *Requirements) bool {
 	for _, q := range p.waiting {
-		if q.want.Service == w.Service && q.want.Model == w.Model && q.want.Priority <= w.Priority {
+		if q.requirements.Service == w.Service && q.requirements.Model == w.Model && q.requirements.Priority <= w.Priority {
 			return true
 		}
 	}
@@ -46,18 +46,18 @@
 	}
 	order := slices.Clone(p.waiting)
 	slices.SortStableFunc(order, func(a, b *waiter) int {
-		if a.want.Priority != b.want.Priority {
-			return a.want.Priority - b.want.Priority
+		if a.requirements.Priority != b.requirements.Priority {
+			return a.requirements.Priority - b.requirements.Priority
 		}
-		return p.runningByWorkspace[a.want.Workspace] - p.runningByWorkspace[b.want.Workspace]
+		return p.runningByWorkspace[a.requirements.Workspace] - p.runningByWorkspace[b.requirements.Workspace]
 	})
 	full := make(map[string]bool)
 	for _, q := range order {
-		kind := q.want.Service + "/" + q.want.Model
+		kind := q.requirements.Service + "/" + q.requirements.Model
 		if full[kind] {
 			continue
 		}
-		place, _ := p.tryAcquire(q.want, now, false)
+		place, _ := p.tryAcquire(q.requirements, now, false)
 		if place == nil {
 			full[kind] = true
 			continue
