--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -43,7 +43,7 @@
 
 // add adds an ending and reports whether it is new.
 func (e *entry) add(ending Ending) bool {
-	if len(e.endings) >= maxEndings || e.hasLife(ending) {
+	if len(e.endings) >= maxEndings || e.hasInstance(ending) {
 		return false
 	}
 	e.endings = append(e.endings, ending)
@@ -51,8 +51,8 @@
 	return true
 }
 
-// hasLife reports whether the same life of an endpoint is already recorded.
-func (e *entry) hasLife(ending Ending) bool {
+// hasInstance reports whether an ending of the same instance of the endpoint is already recorded.
+func (e *entry) hasInstance(ending Ending) bool {
 	return slices.ContainsFunc(e.endings, func(known Ending) bool { return known.InstanceHash == ending.InstanceHash })
 }
 
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -139,13 +139,13 @@
 // digest returns a hash of the request and its endings, independent of their order.
 func (e *entry) digest(f Fingerprint) uint64 {
 	content := binary.BigEndian.AppendUint64(nil, uint64(f))
-	lives := make([]uint32, 0, len(e.endings))
+	hashes := make([]uint32, 0, len(e.endings))
 	for _, ending := range e.endings {
-		lives = append(lives, ending.InstanceHash)
+		hashes = append(hashes, ending.InstanceHash)
 	}
-	slices.Sort(lives)
-	for _, life := range lives {
-		content = binary.BigEndian.AppendUint32(content, life)
+	slices.Sort(hashes)
+	for _, instance := range hashes {
+		content = binary.BigEndian.AppendUint32(content, instance)
 	}
 	return xxhash.Sum64(content)
 }
--- a/internal/quarantine/investigator.go
+++ b/internal/quarantine/investigator.go
@@ -43,7 +43,7 @@
 	Logger   log.Logger
 
 	mu             sync.Mutex
-	investigations map[uint32]*investigation     // by lifeHash of the endpoint
+	investigations map[uint32]*investigation     // by instanceHash of the endpoint
 	abandoned      map[string][]abandonedRequest // by endpoint id
 }
 
@@ -59,7 +59,7 @@
 	now := clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	o := q.investigations[lifeHash(e)]
+	o := q.investigations[instanceHash(e)]
 	switch {
 	case o == nil || !o.fresh(now):
 		q.investigate(e).add(f, resent)
@@ -92,7 +92,7 @@
 func (q *Investigator) Refused(e *endpoint.Endpoint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.recentlyAbandoned(e.ID, clock.Now())) > 0 && q.investigations[lifeHash(e)] == nil {
+	if len(q.recentlyAbandoned(e.ID, clock.Now())) > 0 && q.investigations[instanceHash(e)] == nil {
 		q.investigate(e)
 	}
 }
@@ -106,9 +106,9 @@
 			delete(q.abandoned, id)
 		}
 	}
-	for life, o := range q.investigations {
+	for instance, o := range q.investigations {
 		if !o.fresh(now) {
-			delete(q.investigations, life)
+			delete(q.investigations, instance)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		q.investigations = make(map[uint32]*investigation)
 	}
 	o := &investigation{}
-	q.investigations[lifeHash(e)] = o
+	q.investigations[instanceHash(e)] = o
 	go q.conclude(e, clock.Now())
 	return o
 }
@@ -142,11 +142,11 @@
 	cause := q.findCause(e)
 	now := clock.Now()
 	q.mu.Lock()
-	o := q.investigations[lifeHash(e)]
+	o := q.investigations[instanceHash(e)]
 	affected := &investigation{requests: o.requests, resent: o.resent}
 	*o = investigation{cause: cause, start: noticed}
 	if cause == noEndFound {
-		delete(q.investigations, lifeHash(e)) // the endpoint may still end at any time
+		delete(q.investigations, instanceHash(e)) // the endpoint may still end at any time
 		q.mu.Unlock()
 		return
 	}
@@ -201,7 +201,7 @@
 		}
 		switch {
 		case !sharesDomain || other.ID == e.ID || other.Draining:
-		case q.investigations[lifeHash(other)] != nil:
+		case q.investigations[instanceHash(other)] != nil:
 			ended = append(ended, other)
 		default:
 			out = append(out, other)
--- a/internal/quarantine/investigator_test.go
+++ b/internal/quarantine/investigator_test.go
@@ -32,11 +32,11 @@
 		d.endpoints = append(d.endpoints, &endpoint.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", DataCentre: "z", Domain: name})
 	}
 	directory.Apply(d.endpoints, nil, time.Now())
-	d.Investigator = quarantine.Investigator{Table: quarantine.NewTable(), Directory: directory, Probe: d.ask, OnEnding: func(bool) {}, Logger: log.NewNopLogger()}
+	d.Investigator = quarantine.Investigator{Table: quarantine.NewTable(), Directory: directory, Probe: d.probe, OnEnding: func(bool) {}, Logger: log.NewNopLogger()}
 	return d
 }
 
-func (d *domain) ask(_ context.Context, e *endpoint.Endpoint) quarantine.ProbeResult {
+func (d *domain) probe(_ context.Context, e *endpoint.Endpoint) quarantine.ProbeResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.probes++
@@ -107,7 +107,7 @@
 
 // Guards against mistaking endings under one request for the loss of their domain: the neighbours of an ended endpoint may
 // include others that have ended as well, which this node knows.
-func TestEndpointKnownToHaveEndedTellsNothingOfItsDomain(t *testing.T) {
+func TestEndedEndpointIsNoEvidenceThatItsDomainIsLost(t *testing.T) {
 	for range 100 { // the probed neighbours are chosen at random
 		synctest.Test(t, func(t *testing.T) {
 			d := newDomain("d", 6)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -22,7 +22,7 @@
 	if e.Domain == "" {
 		domain = "data centre/" + e.DataCentre
 	}
-	return Ending{InstanceHash: lifeHash(e), Domain: hash(domain), At: at}
+	return Ending{InstanceHash: instanceHash(e), Domain: hash(domain), At: at}
 }
 
 // asSeparateIncident returns the ending in a domain of its own, so that it is counted separately. It is used for endpoints
@@ -32,7 +32,7 @@
 	return e
 }
 
-func lifeHash(e *endpoint.Endpoint) uint32 { return hash(e.ID) }
+func instanceHash(e *endpoint.Endpoint) uint32 { return hash(e.ID) }
 
 func hash(s string) uint32 { return uint32(xxhash.Sum64String(s)) } //nolint:gosec // truncated to 32 bits on purpose
 
--- a/internal/quarantine/stored_list.go
+++ b/internal/quarantine/stored_list.go
@@ -30,9 +30,9 @@
 
 // StoredEnding is an Ending with its age at the time of writing.
 type StoredEnding struct {
-	Life      uint32 `json:"life"`
-	Domain    uint32 `json:"domain"`
-	AgeMillis int64  `json:"age_ms"`
+	InstanceHash uint32 `json:"life"`
+	Domain       uint32 `json:"domain"`
+	AgeMillis    int64  `json:"age_ms"`
 }
 
 // NewStoredList returns up to maxStoredRequests records in stored form, those with the most endings first.
@@ -66,7 +66,7 @@
 		record := Record{Fingerprint: Fingerprint(f), Hold: hold}
 		for _, e := range r.Endings {
 			at := now.Add(-time.Duration(e.AgeMillis) * time.Millisecond)
-			record.Endings = append(record.Endings, Ending{InstanceHash: e.Life, Domain: e.Domain, At: at})
+			record.Endings = append(record.Endings, Ending{InstanceHash: e.InstanceHash, Domain: e.Domain, At: at})
 		}
 		out = append(out, record)
 	}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -163,7 +163,7 @@
 // including this one. Requests that merely shared endpoints with it are not held back.
 func (t *Table) explained(ending Ending, e *entry) bool {
 	for _, other := range t.entries {
-		if other.suspected() && len(other.endings) > len(e.endings) && other.hasLife(ending) {
+		if other.suspected() && len(other.endings) > len(e.endings) && other.hasInstance(ending) {
 			return true
 		}
 	}
