--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -40,20 +40,20 @@
 
 // Options holds the components of the node that a Server uses.
 type Options struct {
-	Store     *accept.Store
-	Objects   infra.ObjectStore
-	Current   func() *config.Config
-	Members   *membership.Table
-	Mirror    *mirror.Mirror
-	Drains    *drains.Reader
-	Book      *domains.Book
-	Router    *routing.Router
-	Admission *admission.Admission
-	Burn      *burn.Recorder
-	Losses    func() []burn.GroupLosses
-	Checker   *invariant.Checker
-	Metrics   *metrics.Reporter
-	Logger    log.Logger
+	Store       *accept.Store
+	Objects     infra.ObjectStore
+	Current     func() *config.Config
+	Members     *membership.Table
+	Mirror      *mirror.Mirror
+	Drains      *drains.Reader
+	Assignments *domains.Reader
+	Router      *routing.Router
+	Admission   *admission.Admission
+	Burn        *burn.Recorder
+	Losses      func() []burn.GroupLosses
+	Checker     *invariant.Checker
+	Metrics     *metrics.Reporter
+	Logger      log.Logger
 	// Bootstrap is the hash of the token that may apply the first configuration. Empty means that there is none.
 	Bootstrap string
 	// Ready reports whether the node accepts requests, and if not, the reason.
--- a/internal/engine/mix.go
+++ b/internal/engine/mix.go
@@ -19,9 +19,9 @@
 	return m.Tokens / m.PerSecond
 }
 
-// large returns the length, in tokens, of the prompt that an average token belongs to. It equals the mean prompt length if all
-// prompts are equally long, and twice the mean if the standard deviation of their lengths equals the mean.
-func (m *Mix) large() float64 { return m.Squares / m.Tokens }
+// tokenWeightedMean returns the length, in tokens, of the prompt that an average token belongs to. It equals the mean prompt length
+// if all prompts are equally long, and twice the mean if the standard deviation of their lengths equals the mean.
+func (m *Mix) tokenWeightedMean() float64 { return m.Squares / m.Tokens }
 
 // Add adds the requests of another mix, such as that of another node.
 func (m *Mix) Add(other Mix) {
@@ -45,8 +45,8 @@
 	return Mix{PerSecond: perSecond, Tokens: m.Tokens * factor, Squares: m.Squares * factor, Objective: m.Objective}
 }
 
-// Less returns the mix without the requests of another mix that was added to it. The objective is kept.
-func (m *Mix) Less(other Mix) Mix {
+// Minus returns the mix without the requests of another mix that was added to it. The objective is kept.
+func (m *Mix) Minus(other Mix) Mix {
 	return Mix{
 		PerSecond: max(0, m.PerSecond-other.PerSecond), Tokens: max(0, m.Tokens-other.Tokens),
 		Squares: max(0, m.Squares-other.Squares), Objective: m.Objective,
