--- a/internal/gossip/quarantine_test.go
+++ b/internal/gossip/quarantine_test.go
@@ -136,7 +136,7 @@
 		f := newLargeFleet(9)
 		f.addQuarantineTables()
 		qt.Check(t, f.awaitSettled(8), qt.IsTrue)
-		f.network.Part(f.ports[0], f.ports[1])
+		f.network.Partition(f.ports[0], f.ports[1])
 		for i, at := range []int{0, 0, 0} {
 			f.endEndpoint(10+i, at)
 		}
--- a/internal/gossip/size_test.go
+++ b/internal/gossip/size_test.go
@@ -46,7 +46,7 @@
 		p := f.network.Open(i)
 		address := p.Address()
 		id := Identity{
-			VM: fmt.Sprintf("entry-%d", i), Incarnation: fmt.Sprintf("%08x", i), DataCentre: fmt.Sprintf("data-centre-%d", p.Zone()),
+			VM: fmt.Sprintf("entry-%d", i), Incarnation: fmt.Sprintf("%08x", i), DataCentre: fmt.Sprintf("data-centre-%d", p.DataCentre()),
 			CallerAddress: address, GossipAddress: address, PeerAddress: address, Capacity: 192,
 		}
 		if i < 3*network.DataCentres {
@@ -104,7 +104,7 @@
 	share := seconds * len(f.nodes)
 	out := network.Traffic{
 		Datagrams: (now.Datagrams - f.lastTraffic.Datagrams) / share, Bytes: (now.Bytes - f.lastTraffic.Bytes) / share,
-		FarBytes: (now.FarBytes - f.lastTraffic.FarBytes) / share,
+		CrossDataCentreBytes: (now.CrossDataCentreBytes - f.lastTraffic.CrossDataCentreBytes) / share,
 	}
 	f.lastTraffic = now
 	return out
@@ -117,7 +117,7 @@
 		sent := f.network.Sent(p)
 		out.Datagrams += sent.Datagrams
 		out.Bytes += sent.Bytes
-		out.FarBytes += sent.FarBytes
+		out.CrossDataCentreBytes += sent.CrossDataCentreBytes
 	}
 	return out
 }
@@ -129,13 +129,13 @@
 		if unreachable && i%3 == 1 {
 			f.unreachable[i] = true
 		}
-		f.network.Cut(f.unreachable[i], p)
+		f.network.SetUnreachable(f.unreachable[i], p)
 	}
 }
 
 // disconnect makes a node permanently unreachable.
 func (f *largeFleet) disconnect(i int) {
-	f.network.Cut(true, f.ports[i])
+	f.network.SetUnreachable(true, f.ports[i])
 	f.unreachable[i] = true
 }
 
@@ -199,7 +199,7 @@
 				f := newLargeFleet(size)
 				check := func(what string, seconds, bytes, datagrams int) {
 					got := f.measureTraffic(seconds)
-					t.Logf("%s: a node sends %d datagrams and %d bytes per second, %d of the bytes to other data centres", what, got.Datagrams, got.Bytes, got.FarBytes)
+					t.Logf("%s: a node sends %d datagrams and %d bytes per second, %d of the bytes to other data centres", what, got.Datagrams, got.Bytes, got.CrossDataCentreBytes)
 					qt.Check(t, got.Bytes < bytes, qt.IsTrue, qt.Commentf("%s: %d bytes", what, got.Bytes))
 					qt.Check(t, got.Datagrams < datagrams, qt.IsTrue, qt.Commentf("%s: %d datagrams", what, got.Datagrams))
 				}
--- a/internal/lab/caller.go
+++ b/internal/lab/caller.go
@@ -29,12 +29,12 @@
 
 // Complete sends a completion and reads its answer.
 func (c *Caller) Complete(address string, k Completion) Reply {
-	body, _ := json.Marshal(map[string]any{"model": k.Model, "prompt": k.Prompt, "max_tokens": k.Tokens, "stream": !k.Whole})
+	body, _ := json.Marshal(map[string]any{"model": k.Model, "prompt": k.Prompt, "max_tokens": k.Tokens, "stream": !k.NonStreaming})
 	r, _ := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions", bytes.NewReader(body))
 	if k.DeadlineMS > 0 {
 		r.Header.Set("X-Moorrun-Deadline-Ms", fmt.Sprint(k.DeadlineMS))
 	}
-	return c.do(r, !k.Whole, k.OnEvent)
+	return c.do(r, !k.NonStreaming, k.OnEvent)
 }
 
 // CompleteAtEngine sends a completion straight to an engine, or through something that knows nothing of moorrun.
@@ -54,8 +54,8 @@
 	return c.do(r, true, nil)
 }
 
-// Plain calls a plain service. mark names the call in the endpoint's count.
-func (c *Caller) Plain(address, method, path, mark, key string, body string) Reply {
+// CallService calls a plain service. mark names the call in the endpoint's count.
+func (c *Caller) CallService(address, method, path, mark, key string, body string) Reply {
 	r, _ := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
 	r.Header.Set(standin.MarkHeader, mark)
 	if key != "" {
@@ -73,8 +73,8 @@
 	return answer.Prefix, errors.Join(reply.Err, err)
 }
 
-// Which asks an address which addresses to use.
-func (c *Caller) Which(address string) (entry.AddressList, error) {
+// AddressList asks an address which addresses to use.
+func (c *Caller) AddressList(address string) (entry.AddressList, error) {
 	var answer entry.AddressList
 	r, _ := http.NewRequest(http.MethodGet, "http://"+address+"/v1/which", nil)
 	reply := c.do(r, false, nil)
@@ -86,7 +86,7 @@
 
 func (c *Caller) do(r *http.Request, stream bool, onEvent func(int) error) (out Reply) {
 	start := time.Now()
-	defer func() { out.Took = time.Since(start) }()
+	defer func() { out.Duration = time.Since(start) }()
 	r.Header.Set("Authorization", "Bearer "+c.Token)
 	answer, err := c.http.Do(r)
 	if err != nil {
@@ -98,7 +98,7 @@
 	out.Resume, out.RetryAfter = answer.Header.Get("X-Moorrun-Resume"), answer.Header.Get("Retry-After")
 	if !stream || out.Status != http.StatusOK {
 		body, err := io.ReadAll(answer.Body)
-		out.Text, out.Err, out.Whole = string(body), err, err == nil && out.Status < http.StatusMultipleChoices
+		out.Text, out.Err, out.Complete = string(body), err, err == nil && out.Status < http.StatusMultipleChoices
 		return out
 	}
 	out.readEvents(answer.Body, start, onEvent)
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -20,30 +20,30 @@
 
 // Options shape a Lab.
 type Options struct {
-	Dir          string // working directory
-	Config       string // directory of configuration files; VMs and endpoints in them get stand-ins
-	Bin          string // directory of the built programs
-	TokenEvery   time.Duration
-	Prefill      time.Duration
-	LoadLag      time.Duration
-	Prefixes     int           // of each engine's cache
-	Load         time.Duration // of weights
-	LoadsASecond float64
-	VMListLag    time.Duration
-	Linked       bool // put a faulty link before each node's peers and store, and before each engine
+	Dir             string // working directory
+	Config          string // directory of configuration files; VMs and endpoints in them get stand-ins
+	BinDir          string // directory of the built programs
+	TokenInterval   time.Duration
+	Prefill         time.Duration
+	LoadReportLag   time.Duration
+	PrefixCacheSize int           // of each engine's cache
+	WeightLoadTime  time.Duration // of weights
+	LoadsPerSecond  float64
+	VMListLag       time.Duration
+	FaultProxies    bool // put a faulty link before each node's peers and store, and before each engine
 }
 
 // Lab is a running set of stand-ins and moorrund processes.
 type Lab struct {
 	Options
-	Objects *standin.ObjectAPI
-	VMs     *standin.VMList
-	Weights *standin.WeightStore
-	Fabric  *standin.Fabric
-	Engines map[string]*standin.Engine // by VM
-	Plains  map[string]*standin.Plain  // by endpoint
-	Links   map[string]*standin.Link   // by engine VM
-	Files   string                     // configuration with the stand-ins' addresses
+	Objects        *standin.ObjectAPI
+	VMs            *standin.VMList
+	Weights        *standin.WeightStore
+	Registry       *standin.EngineRegistry
+	Engines        map[string]*standin.Engine        // by VM
+	PlainEndpoints map[string]*standin.PlainEndpoint // by endpoint
+	EngineProxies  map[string]*standin.FaultProxy    // by engine VM
+	ConfigDir      string                            // configuration with the stand-ins' addresses
 
 	mu    sync.Mutex
 	nodes map[string]*Node // by VM
@@ -66,12 +66,12 @@
 
 // New starts the stand-ins for a configuration.
 func New(o Options) (*Lab, error) {
-	l := &Lab{Options: o, Links: make(map[string]*standin.Link), Fabric: standin.NewFabric(), Engines: make(map[string]*standin.Engine),
-		Plains: make(map[string]*standin.Plain), nodes: make(map[string]*Node), Files: filepath.Join(o.Dir, "config")}
+	l := &Lab{Options: o, EngineProxies: make(map[string]*standin.FaultProxy), Registry: standin.NewEngineRegistry(), Engines: make(map[string]*standin.Engine),
+		PlainEndpoints: make(map[string]*standin.PlainEndpoint), nodes: make(map[string]*Node), ConfigDir: filepath.Join(o.Dir, "config")}
 	var err, err2, err3 error
 	l.Objects, err = standin.StartObjectAPI()
 	l.VMs, err2 = standin.StartVMList(o.VMListLag)
-	l.Weights, err3 = standin.StartWeightStore(o.LoadsASecond, o.Load)
+	l.Weights, err3 = standin.StartWeightStore(o.LoadsPerSecond, o.WeightLoadTime)
 	if err := errors.Join(err, err2, err3); err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	if err != nil || len(names) == 0 {
 		return fmt.Errorf("no configuration in %s: %w", l.Config, err)
 	}
-	if err := os.MkdirAll(l.Files, 0o700); err != nil {
+	if err := os.MkdirAll(l.ConfigDir, 0o700); err != nil {
 		return err
 	}
 	var listed []infra.VM
@@ -115,7 +115,7 @@
 		return err
 	}
 	file := filepath.Base(part.File)
-	return os.WriteFile(filepath.Join(l.Files, file), pretty.Bytes(), 0o600)
+	return os.WriteFile(filepath.Join(l.ConfigDir, file), pretty.Bytes(), 0o600)
 }
 
 func (l *Lab) fill(part config.Part, listed *[]infra.VM) error {
@@ -136,11 +136,11 @@
 	if part.Workspace != nil {
 		for _, s := range part.Workspace.Services {
 			for i := range s.Endpoints {
-				p, err := standin.StartPlain()
+				p, err := standin.StartPlainEndpoint()
 				if err != nil {
 					return err
 				}
-				l.Plains[s.Endpoints[i].Name] = p
+				l.PlainEndpoints[s.Endpoints[i].Name] = p
 				s.Endpoints[i].Address = p.Address
 			}
 		}
@@ -150,23 +150,23 @@
 
 // engineAddress returns where nodes reach an engine: behind a link if the lab has links.
 func (l *Lab) engineAddress(e *standin.Engine) (string, error) {
-	if !l.Linked {
+	if !l.FaultProxies {
 		return e.Address, nil
 	}
-	link, err := standin.StartLink()
+	link, err := standin.StartFaultProxy()
 	if err != nil {
 		return "", err
 	}
-	link.To(e.Address)
-	l.Fabric.Alias(link.Address, e)
-	l.Links[e.VM] = link
+	link.SetTarget(e.Address)
+	l.Registry.Alias(link.Address, e)
+	l.EngineProxies[e.VM] = link
 	return link.Address, nil
 }
 
 func (l *Lab) startEngine(vm config.VM) (*standin.Engine, error) {
 	e, err := standin.StartEngine(standin.EngineOptions{
-		VM: vm.Name, ChecksOrders: vm.ChecksOrders, TokenEvery: l.TokenEvery, Prefill: l.Prefill,
-		LoadLag: l.LoadLag, Prefixes: l.Prefixes, Weights: l.Weights, Fabric: l.Fabric,
+		VM: vm.Name, ChecksOrders: vm.ChecksOrders, TokenInterval: l.TokenInterval, Prefill: l.Prefill,
+		LoadReportLag: l.LoadReportLag, PrefixCacheSize: l.PrefixCacheSize, Weights: l.Weights, Registry: l.Registry,
 	})
 	if err == nil {
 		l.Engines[vm.Name] = e
@@ -187,10 +187,10 @@
 		e.Freeze(false)
 		e.Kill()
 	}
-	for _, p := range l.Plains {
+	for _, p := range l.PlainEndpoints {
 		p.Kill()
 	}
-	for _, link := range l.Links {
+	for _, link := range l.EngineProxies {
 		link.Close()
 	}
 	l.Objects.Kill()
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -18,13 +18,13 @@
 
 // Node is one moorrund process.
 type Node struct {
-	Settings settings.Settings
-	Log      string        // file of its log
-	Peers    *standin.Link // before its peer address, if the lab is linked
-	Store    *standin.Link // between it and the object API, if the lab is linked
-	process  *exec.Cmd
-	done     chan struct{}
-	exit     int
+	Settings   settings.Settings
+	LogFile    string              // file of its log
+	PeerProxy  *standin.FaultProxy // before its peer address, if the lab is linked
+	StoreProxy *standin.FaultProxy // between it and the object API, if the lab is linked
+	process    *exec.Cmd
+	done       chan struct{}
+	exit       int
 }
 
 // kernelPort leaves the port to the kernel.
@@ -33,11 +33,11 @@
 // startLimit bounds the wait for a process's addresses.
 const startLimit = 20 * time.Second
 
-// Tune changes a node's settings before it starts.
-type Tune func(*settings.Settings)
+// SettingsOption changes a node's settings before it starts.
+type SettingsOption func(*settings.Settings)
 
 // StartNode starts moorrund for a VM, with settings quick enough for tests.
-func (l *Lab) StartNode(vm, dataCentre string, tunes ...Tune) (*Node, error) {
+func (l *Lab) StartNode(vm, dataCentre string, tunes ...SettingsOption) (*Node, error) {
 	s := settings.Settings{
 		VM: vm, DataCentre: dataCentre, BootstrapOperatorSHA256: config.HashToken(OperatorToken),
 		Platform:    settings.Platform{ObjectAPI: l.Objects.Address, VMList: l.VMs.Address, WeightStore: l.Weights.Address},
@@ -58,20 +58,20 @@
 // link puts the node behind links of its own.
 func (l *Lab) link(n *Node) error {
 	var err, err2 error
-	n.Peers, err = standin.StartLink()
-	n.Store, err2 = standin.StartLink()
+	n.PeerProxy, err = standin.StartFaultProxy()
+	n.StoreProxy, err2 = standin.StartFaultProxy()
 	if err := errors.Join(err, err2); err != nil {
 		return err
 	}
-	n.Store.To(l.Objects.Address)
-	n.Settings.Platform.ObjectAPI = n.Store.Address
-	n.Settings.PeerAddress, n.Settings.Listen.Peer = n.Peers.Address, kernelPort
+	n.StoreProxy.SetTarget(l.Objects.Address)
+	n.Settings.Platform.ObjectAPI = n.StoreProxy.Address
+	n.Settings.PeerAddress, n.Settings.Listen.Peer = n.PeerProxy.Address, kernelPort
 	return nil
 }
 
 func (l *Lab) start(s settings.Settings) (*Node, error) {
-	n := &Node{Settings: s, Log: filepath.Join(l.Dir, s.VM+".log"), done: make(chan struct{})}
-	if l.Linked {
+	n := &Node{Settings: s, LogFile: filepath.Join(l.Dir, s.VM+".log"), done: make(chan struct{})}
+	if l.FaultProxies {
 		if err := l.link(n); err != nil {
 			return nil, err
 		}
@@ -84,7 +84,7 @@
 	if err := os.WriteFile(file, content, 0o600); err != nil {
 		return nil, err
 	}
-	out, err := os.OpenFile(n.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	out, err := os.OpenFile(n.LogFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.process = exec.Command(filepath.Join(l.Bin, "moorrund"), "--settings", file) //nolint:gosec // our own program
+	n.process = exec.Command(filepath.Join(l.BinDir, "moorrund"), "--settings", file) //nolint:gosec // our own program
 	n.process.Stderr, n.process.Stdout = out, out
 	if err := n.process.Start(); err != nil {
 		return nil, err
@@ -111,8 +111,8 @@
 
 // readAddresses takes the addresses that the kernel chose from the log, which is read from that offset.
 func (n *Node) readAddresses(offset int64) error {
-	return Until(startLimit, "the addresses of "+n.Settings.VM, func() bool {
-		content, err := os.ReadFile(n.Log)
+	return WaitUntil(startLimit, "the addresses of "+n.Settings.VM, func() bool {
+		content, err := os.ReadFile(n.LogFile)
 		if err != nil || int64(len(content)) <= offset {
 			return false
 		}
@@ -125,8 +125,8 @@
 			return false
 		}
 		n.Settings.CallerAddress, n.Settings.AdminAddress, n.Settings.PeerAddress = line.Caller, line.Admin, line.Peer
-		if n.Peers != nil {
-			n.Peers.To(line.Listen)
+		if n.PeerProxy != nil {
+			n.PeerProxy.SetTarget(line.Listen)
 		}
 		return true
 	})
@@ -145,9 +145,9 @@
 	_ = n.process.Process.Signal(syscall.SIGCONT)
 	_ = n.process.Process.Kill()
 	<-n.done
-	if n.Peers != nil {
-		n.Peers.Close()
-		n.Store.Close()
+	if n.PeerProxy != nil {
+		n.PeerProxy.Close()
+		n.StoreProxy.Close()
 	}
 }
 
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return Output{Stderr: err.Error(), Code: -1}
 	}
-	k := exec.Command(filepath.Join(l.Bin, "moorrun"), args...) //nolint:gosec // our own program
+	k := exec.Command(filepath.Join(l.BinDir, "moorrun"), args...) //nolint:gosec // our own program
 	k.Env = append(os.Environ(), "MOORRUN_NODES="+strings.Join(addresses, ","), "MOORRUN_TOKEN_FILE="+file)
 	var stdout, stderr bytes.Buffer
 	k.Stdout, k.Stderr = &stdout, &stderr
@@ -77,8 +77,8 @@
 	return s, json.Unmarshal([]byte(out.Stdout), &s)
 }
 
-// Until waits until ok returns true.
-func Until(limit time.Duration, what string, ok func() bool) error {
+// WaitUntil waits until ok returns true.
+func WaitUntil(limit time.Duration, what string, ok func() bool) error {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok() {
 			return nil
@@ -87,9 +87,9 @@
 	return fmt.Errorf("not within %s: %s", limit, what)
 }
 
-// UsableGroups waits until that many replica groups may be used.
-func (l *Lab) UsableGroups(n int, limit time.Duration) error {
-	return Until(limit, fmt.Sprintf("%d usable replica groups", n), func() bool {
+// WaitForUsableGroups waits until that many replica groups may be used.
+func (l *Lab) WaitForUsableGroups(n int, limit time.Duration) error {
+	return WaitUntil(limit, fmt.Sprintf("%d usable replica groups", n), func() bool {
 		s, err := l.Status()
 		if err != nil {
 			return false
--- a/internal/lab/reply.go
+++ b/internal/lab/reply.go
@@ -19,15 +19,15 @@
 	Resume     string
 	Text       string
 	Events     int
-	Whole      bool // the end marker or the whole body came
+	Complete   bool // the end marker or the whole body came
 	Err        error
 	FirstToken time.Duration
-	Took       time.Duration
+	Duration   time.Duration
 	RetryAfter string
 }
 
-// ErrLate is returned by OnEvent to leave a stream.
-var ErrLate = errors.New("the caller leaves")
+// ErrCallerLeft is returned by OnEvent to leave a stream.
+var ErrCallerLeft = errors.New("the caller leaves")
 
 func (out *Reply) readEvents(body io.Reader, start time.Time, onEvent func(int) error) {
 	lines := bufio.NewScanner(body)
@@ -36,7 +36,7 @@
 		switch {
 		case !ok:
 		case data == "[DONE]":
-			out.Whole = true
+			out.Complete = true
 		default:
 			if out.Events == 0 {
 				out.FirstToken = time.Since(start)
@@ -50,13 +50,13 @@
 			out.Text += event.Text
 			out.Events++
 			if onEvent != nil && onEvent(out.Events) != nil {
-				out.Err = ErrLate
+				out.Err = ErrCallerLeft
 				return
 			}
 		}
 	}
 	out.Err = lines.Err()
-	out.Whole = out.Whole && out.Err == nil
+	out.Complete = out.Complete && out.Err == nil
 }
 
 // ExpectedText is the whole answer to a prompt.
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -13,18 +13,18 @@
 // Usage is what a process has used so far.
 type Usage struct {
 	CPUSeconds float64
-	Bytes      float64 // read and written, sockets included
+	IOBytes    float64 // read and written, sockets included
 	MemoryMB   float64 // resident now
 }
 
 // UsageOf reads a process's usage.
 func UsageOf(pid int) Usage {
-	return Usage{CPUSeconds: cpuSeconds(pid), Bytes: ioBytes(pid), MemoryMB: memoryMB(pid)}
+	return Usage{CPUSeconds: cpuSeconds(pid), IOBytes: ioBytes(pid), MemoryMB: memoryMB(pid)}
 }
 
 // Since returns the usage between two readings, with the memory of the later.
 func (u Usage) Since(before Usage) Usage {
-	return Usage{u.CPUSeconds - before.CPUSeconds, u.Bytes - before.Bytes, u.MemoryMB}
+	return Usage{u.CPUSeconds - before.CPUSeconds, u.IOBytes - before.IOBytes, u.MemoryMB}
 }
 
 func cpuSeconds(pid int) float64 {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,28 +14,28 @@
 
 // EngineOptions shape a stand-in engine.
 type EngineOptions struct {
-	VM           string
-	ChecksOrders bool
-	TokenEvery   time.Duration
-	Prefill      time.Duration // before the first token
-	LoadLag      time.Duration // by which reports of load are late
-	Prefixes     int           // prompt beginnings its cache holds; 0 for no cache
-	Weights      *WeightStore
-	Fabric       *Fabric
+	VM              string
+	ChecksOrders    bool
+	TokenInterval   time.Duration
+	Prefill         time.Duration // before the first token
+	LoadReportLag   time.Duration // by which reports of load are late
+	PrefixCacheSize int           // prompt beginnings its cache holds; 0 for no cache
+	Weights         *WeightStore
+	Registry        *EngineRegistry
 }
 
 // Engine is a stand-in for the model engine of one VM.
 type Engine struct {
 	*Server
 	EngineOptions
-	Slowness  atomic.Int64 // factor on every time, 0 means 1
-	FailAll   atomic.Bool  // answers 500 to every completion
-	Pause     atomic.Int64 // seconds of Retry-After with which it refuses every completion; 0: it does not
-	CrossNext atomic.Bool  // the next completion is answered under another request's id
-	Runs      atomic.Int64 // completions begun
-	Tried     atomic.Int64 // completions asked for
-	Cancelled atomic.Int64
-	Cache     PrefixCache
+	SlowdownFactor    atomic.Int64 // factor on every time, 0 means 1
+	FailAll           atomic.Bool  // answers 500 to every completion
+	RetryAfterSeconds atomic.Int64 // seconds of Retry-After with which it refuses every completion; 0: it does not
+	MisattributeNext  atomic.Bool  // the next completion is answered under another request's id
+	Runs              atomic.Int64 // completions begun
+	Requests          atomic.Int64 // completions asked for
+	Cancelled         atomic.Int64
+	Cache             PrefixCache
 
 	mu       sync.Mutex
 	state    infra.EngineState
@@ -69,7 +69,7 @@
 	if e.Server, err = StartServer("127.0.0.1:0", mux); err != nil {
 		return nil, err
 	}
-	o.Fabric.add(e)
+	o.Registry.add(e)
 	return e, nil
 }
 
@@ -108,10 +108,10 @@
 func (e *Engine) answerState(w http.ResponseWriter, _ *http.Request) {
 	s := e.State()
 	e.mu.Lock()
-	if time.Since(e.reported.at) > e.LoadLag {
+	if time.Since(e.reported.at) > e.LoadReportLag {
 		e.reported = reportedLoad{time.Now(), e.running, e.waiting}
 	}
-	if e.LoadLag > 0 {
+	if e.LoadReportLag > 0 {
 		s.Running, s.Waiting = e.reported.running, e.reported.waiting
 	}
 	e.mu.Unlock()
@@ -146,5 +146,5 @@
 
 // pace is a duration under the engine's slowness.
 func (e *Engine) pace(d time.Duration) time.Duration {
-	return d * time.Duration(max(1, e.Slowness.Load()))
+	return d * time.Duration(max(1, e.SlowdownFactor.Load()))
 }
--- a/internal/standin/estate/estate.go
+++ b/internal/standin/estate/estate.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Estate is a whole stand-in platform.
-type Estate struct {
+// Platform is a whole stand-in platform.
+type Platform struct {
 	Store *Store
 
 	mu       sync.Mutex
@@ -21,12 +21,12 @@
 }
 
 // New starts an estate without workers.
-func New() *Estate {
-	return &Estate{Store: NewStore(), arrivals: make(map[string][]time.Time), ready: make(map[string]map[string]bool)}
+func New() *Platform {
+	return &Platform{Store: NewStore(), arrivals: make(map[string][]time.Time), ready: make(map[string]map[string]bool)}
 }
 
-// Add starts a worker of a service.
-func (e *Estate) Add(service string) *Worker {
+// StartWorker starts a worker of a service.
+func (e *Platform) StartWorker(service string) *Worker {
 	e.mu.Lock()
 	w := &Worker{ID: fmt.Sprintf("i-%02d", len(e.workers)+1), Service: service, estate: e, born: time.Now().UnixMilli()}
 	e.workers = append(e.workers, w)
@@ -36,7 +36,7 @@
 }
 
 // again starts a worker that has ended once more, under the same ID; it knows nothing of before.
-func (e *Estate) again(ended *Worker) {
+func (e *Platform) again(ended *Worker) {
 	w := &Worker{ID: ended.ID, Service: ended.Service, estate: e, born: time.Now().UnixMilli()}
 	e.mu.Lock()
 	if e.closed {
@@ -49,12 +49,12 @@
 }
 
 // Close stops everything.
-func (e *Estate) Close() {
+func (e *Platform) Close() {
 	e.mu.Lock()
 	e.closed = true
 	e.mu.Unlock()
 	for _, w := range e.Workers() {
-		w.Stall(false)
+		w.StallStreams(false)
 		w.server.CloseClientConnections()
 		w.server.Close()
 	}
@@ -62,14 +62,14 @@
 }
 
 // Workers returns all workers, dead ones included.
-func (e *Estate) Workers() []*Worker {
+func (e *Platform) Workers() []*Worker {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]*Worker(nil), e.workers...)
 }
 
 // OpenHeads returns the heads of open groups.
-func (e *Estate) OpenHeads() []*Worker {
+func (e *Platform) OpenHeads() []*Worker {
 	var out []*Worker
 	for _, w := range e.Workers() {
 		if w.OpenHead() {
@@ -79,20 +79,20 @@
 	return out
 }
 
-func (e *Estate) ran(r Run) {
+func (e *Platform) ran(r Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.runs = append(e.runs, r)
 }
 
-func (e *Estate) arrived(worker string) {
+func (e *Platform) arrived(worker string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.arrivals[worker] = append(e.arrivals[worker], time.Now())
 }
 
 // Arrivals returns when requests have reached a worker, those included that it refused.
-func (e *Estate) Arrivals(worker string) []time.Time {
+func (e *Platform) Arrivals(worker string) []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]time.Time(nil), e.arrivals[worker]...)
@@ -106,7 +106,7 @@
 )
 
 // ended ends a worker under a deadly request; some time later it starts again.
-func (e *Estate) ended(w *Worker) {
+func (e *Platform) ended(w *Worker) {
 	e.mu.Lock()
 	e.ends++
 	e.mu.Unlock()
@@ -114,14 +114,14 @@
 	time.AfterFunc(entryOutlives+backAfter, func() { e.again(w) })
 }
 
-// Ends returns how many workers have ended under deadly requests.
-func (e *Estate) Ends() int {
+// Crashes returns how many workers have ended under deadly requests.
+func (e *Platform) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ends
 }
 
-func (e *Estate) readied(group, id string) {
+func (e *Platform) readied(group, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ready[group] == nil {
@@ -131,7 +131,7 @@
 }
 
 // opening notes a breach if a group opens of which a member has never been ready.
-func (e *Estate) opening(group string, members []string) {
+func (e *Platform) opening(group string, members []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range members {
@@ -142,7 +142,7 @@
 }
 
 // Runs returns the runs of one attempt.
-func (e *Estate) Runs(attempt string) []Run {
+func (e *Platform) Runs(attempt string) []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []Run
@@ -155,7 +155,7 @@
 }
 
 // Breaches returns what has been seen that must never be.
-func (e *Estate) Breaches() []string {
+func (e *Platform) Breaches() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.breaches...)
@@ -163,7 +163,7 @@
 
 // Configure writes the operator's configuration. Keys hold the credentials of the one tenant; MS is the
 // time-out of streams.
-func (e *Estate) Configure(version, streamTimeoutMS int, keys ...string) {
+func (e *Platform) Configure(version, streamTimeoutMS int, keys ...string) {
 	routes := []map[string]any{
 		{"name": "lm", "hostname": "h.example", "path_prefix": "/lm/", "route_kind": "streaming", "resumable": true, "sticky": true, "service": "engines", "timeout_ms": streamTimeoutMS, "slo_ms": 500, "gap_target_ms": 300, "max_attempts": 2, "priority": 1},
 		{"name": "once", "hostname": "h.example", "path_prefix": "/once/", "route_kind": "non_idempotent", "service": "plain", "timeout_ms": 1500, "slo_ms": 300, "max_attempts": 1, "priority": 2},
--- a/internal/standin/estate/worker.go
+++ b/internal/standin/estate/worker.go
@@ -14,14 +14,14 @@
 
 const (
 	joinTime = 80 * time.Millisecond
-	// EventGap is the pause between two events of a stream.
-	EventGap = 15 * time.Millisecond
-	// Events is how many events a stream has.
-	Events = 12
+	// EventInterval is the pause between two events of a stream.
+	EventInterval = 15 * time.Millisecond
+	// EventsPerStream is how many events a stream has.
+	EventsPerStream = 12
 )
 
-// Deadly is the body of a request that ends each worker which begins to run it.
-const Deadly = "deadly"
+// CrashRequestBody is the body of a request that ends each worker which begins to run it.
+const CrashRequestBody = "deadly"
 
 // Run is one request that a worker has begun to work on.
 type Run struct {
@@ -44,7 +44,7 @@
 	ID      string
 	Service string
 
-	estate *Estate
+	estate *Platform
 	server *httptest.Server
 	born   int64 // Unix milliseconds
 
@@ -198,7 +198,7 @@
 	}
 	after := r.Header.Get("Last-Event-Id")
 	w.estate.ran(Run{attempt, w.ID, r.Header.Get("X-Moorrun-Tenant"), after})
-	if string(body) == Deadly {
+	if string(body) == CrashRequestBody {
 		w.estate.ended(w)
 		<-r.Context().Done()
 		return
@@ -218,17 +218,17 @@
 func (w *Worker) stream(rw http.ResponseWriter, r *http.Request, after string) {
 	rw.Header().Set("Content-Type", "text/event-stream")
 	first, _ := strconv.Atoi(after)
-	for id := first + 1; id <= Events; id++ {
+	for id := first + 1; id <= EventsPerStream; id++ {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(EventGap):
+		case <-time.After(EventInterval):
 		}
 		for w.still() {
 			select {
 			case <-r.Context().Done():
 				return
-			case <-time.After(EventGap):
+			case <-time.After(EventInterval):
 			}
 		}
 		_, _ = fmt.Fprintf(rw, "id: %d\ndata: %s\n\n", id, r.Header.Get("X-Moorrun-Attempt-Id"))
@@ -252,20 +252,22 @@
 	time.AfterFunc(entryGoes, func() { w.estate.Store.Remove("servers", w.ID) })
 }
 
-// Stall makes streams of the worker stand still, or go on.
-func (w *Worker) Stall(on bool) { w.set(func() { w.stalled = on }) }
+// StallStreams makes streams of the worker stand still, or go on.
+func (w *Worker) StallStreams(on bool) { w.set(func() { w.stalled = on }) }
 
-// Shed makes the worker refuse what it is sent, as not run.
-func (w *Worker) Shed(on bool) { w.set(func() { w.shedding, w.pause = on, "" }) }
+// Refuse makes the worker refuse what it is sent, as not run.
+func (w *Worker) Refuse(on bool) { w.set(func() { w.shedding, w.pause = on, "" }) }
 
-// Pause makes the worker refuse what it is sent and ask whoever sent it for a pause, in seconds.
-func (w *Worker) Pause(seconds string) { w.set(func() { w.shedding, w.pause = true, seconds }) }
+// RefuseWithRetryAfter makes the worker refuse what it is sent and ask whoever sent it for a pause, in seconds.
+func (w *Worker) RefuseWithRetryAfter(seconds string) {
+	w.set(func() { w.shedding, w.pause = true, seconds })
+}
 
-// Limit makes the worker name a limit in its answers, in requests a second; empty for none. It still takes all that comes.
-func (w *Worker) Limit(perSecond string) { w.set(func() { w.limit = perSecond }) }
+// AnnounceLimit makes the worker name a limit in its answers, in requests a second; empty for none. It still takes all that comes.
+func (w *Worker) AnnounceLimit(perSecond string) { w.set(func() { w.limit = perSecond }) }
 
-// Lose makes the worker run the next n requests without ever answering.
-func (w *Worker) Lose(n int) { w.set(func() { w.lose = n }) }
+// DropNextResponses makes the worker run the next n requests without ever answering.
+func (w *Worker) DropNextResponses(n int) { w.set(func() { w.lose = n }) }
 
 // Drain announces that the worker is about to leave.
 func (w *Worker) Drain() {
@@ -273,8 +275,8 @@
 	w.record()
 }
 
-// Leave makes the worker tell in its answers that it is about to leave, but not in its entry.
-func (w *Worker) Leave() { w.set(func() { w.leaving = true }) }
+// AnnounceLeaving makes the worker tell in its answers that it is about to leave, but not in its entry.
+func (w *Worker) AnnounceLeaving() { w.set(func() { w.leaving = true }) }
 
 func (w *Worker) set(change func()) {
 	w.mu.Lock()
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -10,23 +10,23 @@
 type Fault uint8
 
 const (
-	// Pass lets everything through.
-	Pass Fault = iota
-	// Cut closes every connection and refuses new ones at once.
-	Cut
-	// Silent keeps connections open and delivers nothing, as to a VM that has vanished.
-	Silent
-	// OneWay delivers what the connecting side says and nothing that comes back.
-	OneWay
-	// Slow delivers everything late.
-	Slow
+	// NoFault lets everything through.
+	NoFault Fault = iota
+	// Disconnect closes every connection and refuses new ones at once.
+	Disconnect
+	// Stall keeps connections open and delivers nothing, as to a VM that has vanished.
+	Stall
+	// StallReplies delivers what the connecting side says and nothing that comes back.
+	StallReplies
+	// Delay delivers everything late.
+	Delay
 )
 
 const slowBy = 300 * time.Millisecond
 
-// Link is a TCP connection's way through a fault. The library that tests would use instead, toxiproxy, cannot
+// FaultProxy is a TCP connection's way through a fault. The library that tests would use instead, toxiproxy, cannot
 // be resolved by the module proxy.
-type Link struct {
+type FaultProxy struct {
 	Address string
 	lis     net.Listener
 
@@ -37,32 +37,32 @@
 	conns   map[net.Conn]bool
 }
 
-// StartLink listens; connections wait until To has named the target.
-func StartLink() (*Link, error) {
+// StartFaultProxy listens; connections wait until To has named the target.
+func StartFaultProxy() (*FaultProxy, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{Address: lis.Addr().String(), lis: lis, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
+	l := &FaultProxy{Address: lis.Addr().String(), lis: lis, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
 	go l.accept()
 	return l, nil
 }
 
-// To names the target.
-func (l *Link) To(address string) {
+// SetTarget names the target.
+func (l *FaultProxy) SetTarget(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = address
 }
 
-// Set changes the fault, for open connections too.
-func (l *Link) Set(f Fault) {
+// SetFault changes the fault, for open connections too.
+func (l *FaultProxy) SetFault(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = f
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if f != Cut {
+	if f != Disconnect {
 		return
 	}
 	for c := range l.conns {
@@ -72,25 +72,25 @@
 }
 
 // Close ends the link.
-func (l *Link) Close() {
+func (l *FaultProxy) Close() {
 	_ = l.lis.Close()
-	l.Set(Cut)
+	l.SetFault(Disconnect)
 }
 
-func (l *Link) state() (Fault, string, <-chan struct{}) {
+func (l *FaultProxy) state() (Fault, string, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault, l.target, l.changed
 }
 
-func (l *Link) accept() {
+func (l *FaultProxy) accept() {
 	for {
 		c, err := l.lis.Accept()
 		if err != nil {
 			return
 		}
 		fault, target, _ := l.state()
-		if fault == Cut || target == "" {
+		if fault == Disconnect || target == "" {
 			_ = c.Close()
 			continue
 		}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (l *Link) join(c net.Conn, target string) {
+func (l *FaultProxy) join(c net.Conn, target string) {
 	t, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = c.Close()
@@ -118,7 +118,7 @@
 }
 
 // copy passes bytes on until either side ends; there says that they come from the connecting side.
-func (l *Link) copy(to, from net.Conn, there bool) {
+func (l *FaultProxy) copy(to, from net.Conn, there bool) {
 	defer to.Close()   //nolint:errcheck // the connection is over
 	defer from.Close() //nolint:errcheck // the connection is over
 	const size = 16 << 10
@@ -136,14 +136,14 @@
 }
 
 // hold waits while the fault keeps bytes back.
-func (l *Link) hold(there bool) {
+func (l *FaultProxy) hold(there bool) {
 	for {
 		fault, _, changed := l.state()
 		switch {
-		case fault == Slow:
+		case fault == Delay:
 			time.Sleep(slowBy)
 			return
-		case fault == Silent, fault == OneWay && !there:
+		case fault == Stall, fault == StallReplies && !there:
 			<-changed
 		default:
 			return
--- a/internal/standin/network/network.go
+++ b/internal/standin/network/network.go
@@ -44,15 +44,15 @@
 	return p
 }
 
-// Part keeps two nodes from reaching each other.
-func (w *Network) Part(a, b *Port) {
+// Partition keeps two nodes from reaching each other.
+func (w *Network) Partition(a, b *Port) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.apart = map[[2]netip.AddrPort]bool{{a.address, b.address}: true, {b.address, a.address}: true}
 }
 
-// Cut makes nodes unreachable, or reachable again.
-func (w *Network) Cut(cut bool, ports ...*Port) {
+// SetUnreachable makes nodes unreachable, or reachable again.
+func (w *Network) SetUnreachable(cut bool, ports ...*Port) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range ports {
@@ -76,7 +76,7 @@
 	from.sent.Datagrams += datagrams
 	from.sent.Bytes += size
 	if datagrams > 0 {
-		from.sent.Beats += size
+		from.sent.DatagramBytes += size
 	}
 	if other == nil || from.cut || other.cut || w.apart[[2]netip.AddrPort{from.address, to}] {
 		return nil, 0
@@ -84,6 +84,6 @@
 	if other.zone == from.zone {
 		return other, nearDelay
 	}
-	from.sent.FarBytes += size
+	from.sent.CrossDataCentreBytes += size
 	return other, farDelay
 }
--- a/internal/standin/network/port.go
+++ b/internal/standin/network/port.go
@@ -8,10 +8,10 @@
 
 // Traffic is what nodes have sent.
 type Traffic struct {
-	Datagrams int
-	Bytes     int // of datagrams and connections
-	Beats     int // of Bytes, in datagrams
-	FarBytes  int // of Bytes, to other data centres
+	Datagrams            int
+	Bytes                int // of datagrams and connections
+	DatagramBytes        int // of Bytes, in datagrams
+	CrossDataCentreBytes int // of Bytes, to other data centres
 }
 
 // Port is one node's end of a network.
@@ -31,8 +31,8 @@
 // Address returns the node's address.
 func (p *Port) Address() string { return p.address.String() }
 
-// Zone returns the number of the node's data centre.
-func (p *Port) Zone() int { return p.zone }
+// DataCentre returns the number of the node's data centre.
+func (p *Port) DataCentre() int { return p.zone }
 
 // ReadFromUDPAddrPort takes in a datagram.
 func (p *Port) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
--- a/internal/standin/object_api.go
+++ b/internal/standin/object_api.go
@@ -17,15 +17,15 @@
 // ObjectAPI is an object store in memory with versions, conditional updates, watches and faults.
 type ObjectAPI struct {
 	*Server
-	Down       atomic.Bool  // answers 503 and applies nothing
-	SlowMillis atomic.Int64 // added to each call
-	LoseAnswer atomic.Int64 // that many next writes are applied and their answers lost
-	LoseKey    atomic.Value // string: only writes to keys with that prefix lose answers
-	Calls      *CallCounter // what the platform would bill
-	mu         sync.Mutex   //
-	objects    map[string]infra.Object
-	version    int64
-	changed    chan struct{}
+	Down              atomic.Bool  // answers 503 and applies nothing
+	DelayMillis       atomic.Int64 // added to each call
+	DropNextResponses atomic.Int64 // that many next writes are applied and their answers lost
+	DropKeyPrefix     atomic.Value // string: only writes to keys with that prefix lose answers
+	Calls             *CallCounter // what the platform would bill
+	mu                sync.Mutex   //
+	objects           map[string]infra.Object
+	version           int64
+	changed           chan struct{}
 }
 
 // StartObjectAPI starts an empty store.
@@ -45,7 +45,7 @@
 func (s *ObjectAPI) faults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Calls.Add(r.Method != http.MethodGet)
-		if slow := s.SlowMillis.Load(); slow > 0 {
+		if slow := s.DelayMillis.Load(); slow > 0 {
 			time.Sleep(time.Duration(slow) * time.Millisecond)
 		}
 		if s.Down.Load() {
@@ -97,9 +97,9 @@
 		http.Error(w, "version has moved on", http.StatusConflict)
 		return
 	}
-	only, _ := s.LoseKey.Load().(string)
-	if s.LoseAnswer.Load() > 0 && strings.HasPrefix(key, only) {
-		s.LoseAnswer.Add(-1)
+	only, _ := s.DropKeyPrefix.Load().(string)
+	if s.DropNextResponses.Load() > 0 && strings.HasPrefix(key, only) {
+		s.DropNextResponses.Add(-1)
 		panic(http.ErrAbortHandler)
 	}
 	answerJSON(w, infra.Object{Key: key, Version: version})
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Plain is an endpoint of a plain service that counts each run by the caller's own mark.
-type Plain struct {
+// PlainEndpoint is an endpoint of a plain service that counts each run by the caller's own mark.
+type PlainEndpoint struct {
 	*Server
-	DelayMillis atomic.Int64 // before each answer, after the run
-	FailAll     atomic.Bool  // answers 500 to every call without running it
-	Pause       atomic.Int64 // seconds of Retry-After with which it refuses every call; 0: it does not
-	Refused     atomic.Int64 // calls refused so far
-	CutAfter    atomic.Int64 // that many next calls run and their answers are cut
-	Cuts        atomic.Int64 // answers cut so far
+	DelayMillis       atomic.Int64 // before each answer, after the run
+	FailAll           atomic.Bool  // answers 500 to every call without running it
+	RetryAfterSeconds atomic.Int64 // seconds of Retry-After with which it refuses every call; 0: it does not
+	Refused           atomic.Int64 // calls refused so far
+	AbortNext         atomic.Int64 // that many next calls run and their answers are cut
+	Aborted           atomic.Int64 // answers cut so far
 
 	mu      sync.Mutex
 	runs    map[string]int
@@ -29,21 +29,21 @@
 // MarkHeader names the call in Plain's count.
 const MarkHeader = "X-Mark"
 
-// StartPlain starts an endpoint.
-func StartPlain() (*Plain, error) {
-	p := &Plain{runs: make(map[string]int)}
+// StartPlainEndpoint starts an endpoint.
+func StartPlainEndpoint() (*PlainEndpoint, error) {
+	p := &PlainEndpoint{runs: make(map[string]int)}
 	var err error
 	p.Server, err = StartServer("127.0.0.1:0", http.HandlerFunc(p.run))
 	return p, err
 }
 
-func (p *Plain) run(w http.ResponseWriter, r *http.Request) {
+func (p *PlainEndpoint) run(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if p.FailAll.Load() {
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
 	}
-	if pause := p.Pause.Load(); pause > 0 {
+	if pause := p.RetryAfterSeconds.Load(); pause > 0 {
 		p.Refused.Add(1)
 		w.Header().Set("Retry-After", strconv.FormatInt(pause, 10))
 		http.Error(w, "come back later", http.StatusServiceUnavailable)
@@ -52,16 +52,16 @@
 	p.begin(r.Header.Get(MarkHeader))
 	defer p.end()
 	time.Sleep(time.Duration(p.DelayMillis.Load()) * time.Millisecond)
-	if p.CutAfter.Load() > 0 {
-		p.CutAfter.Add(-1)
-		p.Cuts.Add(1)
+	if p.AbortNext.Load() > 0 {
+		p.AbortNext.Add(-1)
+		p.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	_, _ = fmt.Fprintf(w, "%s %s %d bytes for %s\n", r.Method, r.URL.Path, len(body), r.Header.Get(MarkHeader))
 }
 
-func (p *Plain) begin(mark string) {
+func (p *PlainEndpoint) begin(mark string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.runs[mark]++
@@ -69,21 +69,21 @@
 	p.most = max(p.most, p.running)
 }
 
-func (p *Plain) end() {
+func (p *PlainEndpoint) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running--
 }
 
-// MostAtOnce returns how many calls were running at a time at the most.
-func (p *Plain) MostAtOnce() int {
+// MaxConcurrent returns how many calls were running at a time at the most.
+func (p *PlainEndpoint) MaxConcurrent() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.most
 }
 
 // Runs returns how often the call of that mark has run.
-func (p *Plain) Runs(mark string) int {
+func (p *PlainEndpoint) Runs(mark string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runs[mark]
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -39,7 +39,7 @@
 func EventText(prompt string, index int) string { return fmt.Sprintf("%s-%d ", prompt, index) }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	e.Tried.Add(1)
+	e.Requests.Add(1)
 	var c completion
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -50,11 +50,11 @@
 	}
 	id := r.Header.Get("X-Request-Id")
 	w.Header().Set("X-Request-Id", id)
-	if e.CrossNext.CompareAndSwap(true, false) {
+	if e.MisattributeNext.CompareAndSwap(true, false) {
 		w.Header().Set("X-Request-Id", "another-request")
 		c.Prompt = "another prompt"
 	}
-	if pause := e.Pause.Load(); pause > 0 {
+	if pause := e.RetryAfterSeconds.Load(); pause > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(pause, 10))
 		http.Error(w, "come back later", http.StatusServiceUnavailable)
 		return
@@ -104,18 +104,18 @@
 // generate makes the tokens at the engine's pace, as long as the group is whole.
 func (e *Engine) generate(s *stream) {
 	prefill := e.Prefill
-	if e.Prefixes > 0 && e.Cache.Touch(s.prompt, e.Prefixes) {
+	if e.PrefixCacheSize > 0 && e.Cache.Touch(s.prompt, e.PrefixCacheSize) {
 		prefill /= hitSpeedup
 	}
 	time.Sleep(e.pace(prefill))
 	for i := 0; i < s.tokens; i++ {
 		if i > 0 {
-			time.Sleep(e.pace(e.TokenEvery))
+			time.Sleep(e.pace(e.TokenInterval))
 		}
 		e.mu.Lock()
 		members, group, birth := e.order.Members, e.state.Group, e.state.GroupBirth
 		e.mu.Unlock()
-		if !s.add(e.Fabric.whole(members, group, birth)) {
+		if !s.add(e.Registry.whole(members, group, birth)) {
 			break
 		}
 	}
--- a/test/bench/cost.go
+++ b/test/bench/cost.go
@@ -54,12 +54,12 @@
 
 // cost measures what one node adds: requests and tokens a second of processor time, latency and memory.
 func cost(h *harness) ([]result, error) {
-	l, nodes, err := h.start(lab.Options{TokenEvery: 5 * time.Millisecond, Config: h.root + "/test/bench/config"}, 1, 4)
+	l, nodes, err := h.start(lab.Options{TokenInterval: 5 * time.Millisecond, Config: h.root + "/test/bench/config"}, 1, 4)
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	plain := l.Plains["receipts-1"]
+	plain := l.PlainEndpoints["receipts-1"]
 	proxy, process, err := startProxy(plain.Address)
 	if err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 			open(i, func(int) error {
 				events.Add(1)
 				if stop.Load() {
-					return lab.ErrLate
+					return lab.ErrCallerLeft
 				}
 				return nil
 			})
--- a/test/bench/main.go
+++ b/test/bench/main.go
@@ -94,16 +94,16 @@
 }
 
 // start starts a lab with nodes and waits for its replica groups.
-func (h *harness) start(o lab.Options, nodes, groups int, tunes ...lab.Tune) (*lab.Lab, []*lab.Node, error) {
+func (h *harness) start(o lab.Options, nodes, groups int, tunes ...lab.SettingsOption) (*lab.Lab, []*lab.Node, error) {
 	dir, err := os.MkdirTemp(h.dir, "lab-")
 	if err != nil {
 		return nil, nil, err
 	}
-	o.Dir, o.Bin = dir, h.dir
+	o.Dir, o.BinDir = dir, h.dir
 	if o.Config == "" {
 		o.Config = filepath.Join(h.root, "examples", "gjafabru")
 	}
-	o.Load, o.LoadsASecond = 100*time.Millisecond, 200
+	o.WeightLoadTime, o.LoadsPerSecond = 100*time.Millisecond, 200
 	l, err := lab.New(o)
 	if err != nil {
 		return nil, nil, err
@@ -117,9 +117,9 @@
 		}
 		list = append(list, n)
 	}
-	err = lab.Until(20*time.Second, "an accepted configuration", func() bool { return l.CLI("apply", l.Files, "--wait").Code == 0 })
+	err = lab.WaitUntil(20*time.Second, "an accepted configuration", func() bool { return l.CLI("apply", l.ConfigDir, "--wait").Code == 0 })
 	if err == nil {
-		err = l.UsableGroups(groups, 20*time.Second)
+		err = l.WaitForUsableGroups(groups, 20*time.Second)
 	}
 	if err != nil {
 		l.Close()
--- a/test/bench/once.go
+++ b/test/bench/once.go
@@ -58,8 +58,8 @@
 			counts.doubled++
 		}
 	}
-	for _, p := range l.Plains {
-		counts.cut += p.Cuts.Load()
+	for _, p := range l.PlainEndpoints {
+		counts.cut += p.Aborted.Load()
 	}
 	return counts, nil
 }
@@ -89,8 +89,8 @@
 		i := round % len(f.nodes)
 		switch round % 4 {
 		case 0:
-			for _, p := range f.lab.Plains {
-				p.CutAfter.Store(2)
+			for _, p := range f.lab.PlainEndpoints {
+				p.AbortNext.Store(2)
 			}
 		case 1:
 			f.nodes[i].Pause(true)
@@ -112,7 +112,7 @@
 // runs returns how often a call has run at all endpoints.
 func (f *faultLine) runs(mark string) int {
 	runs := 0
-	for _, p := range f.lab.Plains {
+	for _, p := range f.lab.PlainEndpoints {
 		runs += p.Runs(mark)
 	}
 	return runs
@@ -133,7 +133,7 @@
 	const sends = 6
 	var last lab.Reply
 	for send := range sends {
-		last = gifts.Plain(f.address(n+send), http.MethodPost, receiptsPath, mark, key, "1")
+		last = gifts.CallService(f.address(n+send), http.MethodPost, receiptsPath, mark, key, "1")
 		if last.Status == http.StatusOK || keyed && last.Status == http.StatusConflict {
 			break // the answer, or that nobody will ever know
 		}
--- a/test/bench/overload.go
+++ b/test/bench/overload.go
@@ -41,14 +41,14 @@
 	if err != nil {
 		return nil, err
 	}
-	l.Engines[s.Groups[0].VMs[0]].Slowness.Store(5)
+	l.Engines[s.Groups[0].VMs[0]].SlowdownFactor.Store(5)
 	lat := newLatencies()
 	c := lab.NewCaller("donors-caller-token")
 	const load = 0.8 * (24/0.21 + 8/1.05) // of 3 quick groups and a slow one
 	start := time.Now()
 	openLoop(load, 10*time.Second, func(n int) {
 		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: "s", Tokens: 20})
-		if reply.Whole && time.Since(start) > 3*time.Second {
+		if reply.Complete && time.Since(start) > 3*time.Second {
 			lat.add(reply.FirstToken)
 		}
 	})
--- a/test/bench/overload_at.go
+++ b/test/bench/overload_at.go
@@ -15,7 +15,7 @@
 }
 
 // loadAt sends requests with a deadline of a second at a rate for a while.
-func (h *harness) loadAt(perSecond float64, tunes ...lab.Tune) (loadCounts, error) {
+func (h *harness) loadAt(perSecond float64, tunes ...lab.SettingsOption) (loadCounts, error) {
 	l, nodes, err := h.start(h.small(), 2, 4, tunes...)
 	if err != nil {
 		return loadCounts{}, err
@@ -27,11 +27,11 @@
 	openLoop(perSecond, length, func(n int) {
 		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: "o", Tokens: 20, DeadlineMS: 1000})
 		switch {
-		case reply.Whole && reply.Took < 1050*time.Millisecond:
+		case reply.Complete && reply.Duration < 1050*time.Millisecond:
 			good.Add(1)
 		case reply.Verdict == "not-run" && reply.RetryAfter != "":
 			notRun.Add(1)
-			if reply.Took > 500*time.Millisecond {
+			if reply.Duration > 500*time.Millisecond {
 				lateRefs.Add(1)
 			}
 		default:
--- a/test/bench/platform.go
+++ b/test/bench/platform.go
@@ -81,7 +81,7 @@
 
 // bump applies a small change.
 func bump(l *lab.Lab, i int) error {
-	content, err := os.ReadFile(filepath.Join(l.Files, "gifts.json"))
+	content, err := os.ReadFile(filepath.Join(l.ConfigDir, "gifts.json"))
 	if err != nil {
 		return err
 	}
--- a/test/bench/prefix.go
+++ b/test/bench/prefix.go
@@ -72,7 +72,7 @@
 // first token, with prompts whose beginning is repeated that many times.
 func (h *harness) prefixHits(repeats int) (hits, skew, firstMS float64, err error) {
 	o := h.small()
-	o.Prefixes, o.Prefill = cachePerVM, 150*time.Millisecond
+	o.PrefixCacheSize, o.Prefill = cachePerVM, 150*time.Millisecond
 	l, nodes, err := h.start(o, 2, 4)
 	if err != nil {
 		return 0, 0, 0, err
@@ -83,7 +83,7 @@
 	lat := newLatencies()
 	openLoop(prefixRate, prefixLength, func(n int) {
 		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: prompts[n%len(prompts)], Tokens: 20})
-		if reply.Whole {
+		if reply.Complete {
 			lat.add(reply.FirstToken)
 		}
 	})
--- a/test/bench/retries.go
+++ b/test/bench/retries.go
@@ -39,14 +39,14 @@
 	c := lab.NewCaller("donors-caller-token")
 	openLoop(60, 20*time.Second, func(n int) {
 		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: "r", Tokens: 10})
-		if !reply.Whole {
+		if !reply.Complete {
 			bad.Add(1)
 		}
 		total.Add(1)
 	})
 	tried := int64(0)
 	for _, e := range l.Engines {
-		tried += e.Tried.Load()
+		tried += e.Requests.Load()
 	}
 	return float64(bad.Load()) / float64(total.Load()), float64(tried) / float64(total.Load()), nil
 }
--- a/test/bench/roll.go
+++ b/test/bench/roll.go
@@ -17,7 +17,7 @@
 		return nil, err
 	}
 	defer l.Close()
-	content, err := os.ReadFile(filepath.Join(l.Files, "donors.json"))
+	content, err := os.ReadFile(filepath.Join(l.ConfigDir, "donors.json"))
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 				return
 			default:
 			}
-			if c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: "v", Tokens: 40}).Whole {
+			if c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: "v", Tokens: 40}).Complete {
 				whole.Add(1)
 			} else {
 				cut.Add(1)
@@ -46,7 +46,7 @@
 		return nil, errorOf(out)
 	}
 	least, rolled := 4, 0
-	err = lab.Until(60*time.Second, "every group at version 2", func() bool {
+	err = lab.WaitUntil(60*time.Second, "every group at version 2", func() bool {
 		s, err := l.Status()
 		if err != nil {
 			return false
@@ -88,7 +88,7 @@
 	}
 	const limit, watch = 3 * time.Second, 3 * time.Second
 	time.Sleep(limit)
-	before := l.Engines[leader].Tried.Load()
+	before := l.Engines[leader].Requests.Load()
 	time.Sleep(watch)
-	return l.Engines[leader].Tried.Load() - before, nil
+	return l.Engines[leader].Requests.Load() - before, nil
 }
--- a/test/bench/shares.go
+++ b/test/bench/shares.go
@@ -19,7 +19,7 @@
 )
 
 func (h *harness) small() lab.Options {
-	return lab.Options{TokenEvery: 10 * time.Millisecond, Prefill: 20 * time.Millisecond, Config: h.root + "/test/bench/small"}
+	return lab.Options{TokenInterval: 10 * time.Millisecond, Prefill: 20 * time.Millisecond, Config: h.root + "/test/bench/small"}
 }
 
 func split(s *settings.Settings) { s.PlacesPolicy = settings.PlacesSplit }
@@ -48,7 +48,7 @@
 
 // shareRatio returns answered tokens of donors for each of pledges, when skew of 100 of donors' callers and
 // the rest of pledges' callers use the first node.
-func (h *harness) shareRatio(skew int, tunes ...lab.Tune) (float64, error) {
+func (h *harness) shareRatio(skew int, tunes ...lab.SettingsOption) (float64, error) {
 	l, nodes, err := h.start(h.small(), 2, 4, tunes...)
 	if err != nil {
 		return 0, err
@@ -95,7 +95,7 @@
 	}
 	var use [2]float64
 	var back [2]float64
-	for i, tunes := range [][]lab.Tune{{split}, nil} {
+	for i, tunes := range [][]lab.SettingsOption{{split}, nil} {
 		l, nodes, err := h.start(h.small(), 2, 4, tunes...)
 		if err != nil {
 			return nil, err
@@ -177,7 +177,7 @@
 		// donors' share is 24 places; half of it is 12 requests at a time, 0.21 s each.
 		openLoop(12/0.21, settleTime+2*shareTime, func(n int) {
 			reply := donors.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: letters, Prompt: "q", Tokens: 20})
-			if reply.Whole && time.Now().After(from) {
+			if reply.Complete && time.Now().After(from) {
 				lat.add(reply.FirstToken)
 			}
 		})
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -38,8 +38,8 @@
 		return err
 	}
 	l, err := lab.New(lab.Options{
-		Dir: dir, Bin: dir, Config: filepath.Join("examples", "gjafabru"), TokenEvery: 15 * time.Millisecond,
-		Prefill: 50 * time.Millisecond, Load: 500 * time.Millisecond, LoadsASecond: 50, VMListLag: time.Second,
+		Dir: dir, BinDir: dir, Config: filepath.Join("examples", "gjafabru"), TokenInterval: 15 * time.Millisecond,
+		Prefill: 50 * time.Millisecond, WeightLoadTime: 500 * time.Millisecond, LoadsPerSecond: 50, VMListLag: time.Second,
 	})
 	if err != nil {
 		return err
@@ -60,9 +60,9 @@
 			return err
 		}
 	}
-	fmt.Printf("%d engine VMs and %d plain endpoints stand in; 3 moorrund processes run in 2 data centres\n\n", len(l.Engines), len(l.Plains))
-	if err := lab.Until(settleLimit, "an accepted configuration", func() bool {
-		out := l.CLI("apply", l.Files, "--wait")
+	fmt.Printf("%d engine VMs and %d plain endpoints stand in; 3 moorrund processes run in 2 data centres\n\n", len(l.Engines), len(l.PlainEndpoints))
+	if err := lab.WaitUntil(settleLimit, "an accepted configuration", func() bool {
+		out := l.CLI("apply", l.ConfigDir, "--wait")
 		if out.Code == 0 {
 			fmt.Printf("$ moorrun apply examples/gjafabru --wait\n%s\n", tail(out.Stdout))
 		}
@@ -70,7 +70,7 @@
 	}); err != nil {
 		return err
 	}
-	if err := l.UsableGroups(groupsWanted, settleLimit); err != nil {
+	if err := l.WaitForUsableGroups(groupsWanted, settleLimit); err != nil {
 		return err
 	}
 	address, err := which(l)
@@ -101,7 +101,7 @@
 
 func which(l *lab.Lab) (string, error) {
 	first := l.Nodes()[0].Settings.CallerAddress
-	answer, err := lab.NewCaller("").Which(first)
+	answer, err := lab.NewCaller("").AddressList(first)
 	if err != nil || len(answer.Addresses) == 0 {
 		return "", errors.Join(errors.New("no address to use"), err)
 	}
@@ -119,8 +119,8 @@
 	fmt.Printf("$ curl http://%s/v1/completions ...\n", address)
 	reply := donors.Complete(address, lab.Completion{Model: "letters-70b", Prompt: prompt, Tokens: tokens})
 	fmt.Printf("%s\n%d events, first after %s, whole: %v, verdict: %s\n\n", reply.Text, reply.Events,
-		reply.FirstToken.Round(time.Millisecond), reply.Whole, reply.Verdict)
-	if !reply.Whole || reply.Text != lab.ExpectedText(prompt, tokens) {
+		reply.FirstToken.Round(time.Millisecond), reply.Complete, reply.Verdict)
+	if !reply.Complete || reply.Text != lab.ExpectedText(prompt, tokens) {
 		return fmt.Errorf("the completion is not whole: status %d, %q, %w", reply.Status, reply.Text, reply.Err)
 	}
 	gifts := lab.NewCaller("gifts-caller-token")
@@ -129,7 +129,7 @@
 		return err
 	}
 	for range 2 { // the second send must not run again
-		receipt := gifts.Plain(address, "POST", "/services/receipts/receipts", "receipt-1", prefix+"/receipt-1", "100 kr")
+		receipt := gifts.CallService(address, "POST", "/services/receipts/receipts", "receipt-1", prefix+"/receipt-1", "100 kr")
 		fmt.Printf("receipt, status %d, verdict %s: %s", receipt.Status, receipt.Verdict, receipt.Text)
 		if receipt.Status != 200 {
 			return fmt.Errorf("the receipt failed: %w", receipt.Err)
@@ -143,7 +143,7 @@
 	const most = 4000
 	text := ""
 	for _, n := range l.Nodes() {
-		content, _ := os.ReadFile(n.Log)
+		content, _ := os.ReadFile(n.LogFile)
 		text += n.Settings.VM + ":\n" + string(content[max(0, len(content)-most):]) + "\n"
 	}
 	return text
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -83,7 +83,7 @@
 
 func (f *fleet) newServer(i int, l *life, first bool) *server.Server {
 	s := &settings.Gateway{
-		VM: fmt.Sprintf("entry-%03d", i), DataCentre: zoneOf(l.port.Zone()), Region: "r", CallerAddress: l.port.Address(), PeerAddress: l.port.Address(),
+		VM: fmt.Sprintf("entry-%03d", i), DataCentre: zoneOf(l.port.DataCentre()), Region: "r", CallerAddress: l.port.Address(), PeerAddress: l.port.Address(),
 		Capacity: smallVM, CredentialProofMS: 5000, CredentialProofRequired: true, Evacuations: true, GraceMS: 1000, AddressLifetimeMS: 1000,
 		RepeatRatio: 0.2, RepeatSlack: 1000, RepeatWindowMS: 10000, LeaseTTLMS: 1500, FirstStart: first, EndpointBeatMS: int(beat / time.Millisecond), SampleOneIn: 20, FailureLinesSecond: 20,
 	}
@@ -103,7 +103,7 @@
 // killAll ends all processes without a word: nothing that they still say arrives.
 func (f *fleet) killAll() {
 	for _, l := range f.lives {
-		f.network.Cut(true, l.port)
+		f.network.SetUnreachable(true, l.port)
 		f.cutFromStore(true, l)
 		l.end()
 	}
@@ -189,8 +189,8 @@
 		sent := f.network.Sent(l.port)
 		all.Datagrams += sent.Datagrams
 		all.Bytes += sent.Bytes
-		all.FarBytes += sent.FarBytes
-		all.Beats += sent.Beats
+		all.CrossDataCentreBytes += sent.CrossDataCentreBytes
+		all.DatagramBytes += sent.DatagramBytes
 		if sent.Bytes > busiest.Bytes {
 			busiest = sent
 		}
--- a/test/fleet/start_test.go
+++ b/test/fleet/start_test.go
@@ -38,8 +38,8 @@
 	byKind, calls := f.store.counted()
 	all, busiest := f.traffic()
 	t.Logf("%s: %.1f s; %.0f calls of the store; all sent %.1f MB, %.1f of it in beats and %.1f to other data centres; the busiest %.2f MB so far",
-		what, time.Since(since.at).Seconds(), calls, float64(all.Bytes-since.sent.Bytes)/1e6, float64(all.Beats-since.sent.Beats)/1e6,
-		float64(all.FarBytes-since.sent.FarBytes)/1e6, float64(busiest.Bytes)/1e6)
+		what, time.Since(since.at).Seconds(), calls, float64(all.Bytes-since.sent.Bytes)/1e6, float64(all.DatagramBytes-since.sent.DatagramBytes)/1e6,
+		float64(all.CrossDataCentreBytes-since.sent.CrossDataCentreBytes)/1e6, float64(busiest.Bytes)/1e6)
 	for _, kind := range slices.Sorted(maps.Keys(byKind)) {
 		t.Logf("    %-20s %.0f", kind, byKind[kind])
 	}
--- a/test/gateway/deadly_test.go
+++ b/test/gateway/deadly_test.go
@@ -20,7 +20,7 @@
 
 // deadly sends the deadly request once and returns the status of the answer; zero if the connection was closed.
 func (f *fleet) deadly(n *node, path string) int {
-	answer, _, err := f.requestWith(context.Background(), n, http.MethodPost, path, "key-1", estate.Deadly)
+	answer, _, err := f.requestWith(context.Background(), n, http.MethodPost, path, "key-1", estate.CrashRequestBody)
 	if err != nil {
 		return 0
 	}
@@ -48,19 +48,19 @@
 	for _, path := range []string{"/lm/x", "/again/x"} {
 		t.Run(path, func(t *testing.T) {
 			f := newFleet(t)
-			for i := 0; f.estate.Ends() < endsToKnow; i++ {
+			for i := 0; f.estate.Crashes() < endsToKnow; i++ {
 				f.await("two endpoints of each kind serve", f.able)
 				f.deadly(f.nodes[i%len(f.nodes)], path)
 			}
 			time.Sleep(timeToTell)
-			before := f.estate.Ends()
+			before := f.estate.Crashes()
 			qt.Check(t, before <= endsToKnow+1, qt.IsTrue, qt.Commentf("%d endpoints have ended", before))
 			for i := range 6 {
 				f.await("two endpoints of each kind serve", f.able)
 				status := f.deadly(f.nodes[i%len(f.nodes)], path)
 				qt.Check(t, status, qt.Equals, http.StatusServiceUnavailable)
 			}
-			qt.Check(t, f.estate.Ends(), qt.Equals, before, qt.Commentf("it still reaches endpoints"))
+			qt.Check(t, f.estate.Crashes(), qt.Equals, before, qt.Commentf("it still reaches endpoints"))
 			f.await("others are served", func() bool { return f.stream(f.nodes[0], "key-1").whole() })
 		})
 	}
@@ -69,12 +69,12 @@
 // The list of held requests lies in the store: no node remembers anything once all have been killed.
 func TestHeldRequestStaysHeldThoughAllNodesAreKilled(t *testing.T) {
 	f := newFleet(t)
-	for i := 0; f.estate.Ends() < endsToKnow; i++ {
+	for i := 0; f.estate.Crashes() < endsToKnow; i++ {
 		f.await("two endpoints of each kind serve", f.able)
 		f.deadly(f.nodes[i%len(f.nodes)], "/again/x")
 	}
 	f.await("the list is kept", func() bool { return f.estate.Store.Has("moorrun-quarantine", "held") })
-	before := f.estate.Ends()
+	before := f.estate.Crashes()
 	for _, n := range f.nodes {
 		n.kill()
 	}
@@ -88,5 +88,5 @@
 		qt.Check(t, f.deadly(n, "/again/x"), qt.Equals, http.StatusServiceUnavailable)
 	}
 	f.await("others are served", func() bool { return f.stream(f.nodes[0], "key-1").whole() })
-	qt.Check(t, f.estate.Ends(), qt.Equals, before)
+	qt.Check(t, f.estate.Crashes(), qt.Equals, before)
 }
--- a/test/gateway/explain_test.go
+++ b/test/gateway/explain_test.go
@@ -34,7 +34,7 @@
 func TestExplainRefusedThoughPlacesWereFree(t *testing.T) {
 	f := newFleet(t)
 	for _, w := range f.estate.Workers() {
-		w.Shed(true)
+		w.Refuse(true)
 	}
 	r := f.call(f.nodes[0], "/once/x", "key-1")
 	qt.Assert(t, r.status, qt.Equals, http.StatusServiceUnavailable)
@@ -47,7 +47,7 @@
 	f := newFleet(t)
 	for _, w := range f.estate.Workers() {
 		if w.Service == "engines" {
-			w.Stall(true) // no other group can take the stream up
+			w.StallStreams(true) // no other group can take the stream up
 		}
 	}
 	r := f.stream(f.nodes[0], "key-1")
@@ -60,7 +60,7 @@
 func TestExplainTimedOutAfterALostAnswer(t *testing.T) {
 	f := newFleet(t)
 	for _, w := range f.estate.Workers() {
-		w.Lose(1)
+		w.DropNextResponses(1)
 	}
 	r := f.call(f.nodes[0], "/once/x", "key-1")
 	qt.Assert(t, r.status, qt.Equals, http.StatusGatewayTimeout)
@@ -74,7 +74,7 @@
 	f := newFleet(t)
 	results := f.interrupted(func() {
 		for _, head := range f.estate.OpenHeads()[:2] { // at least one of them has some of the streams
-			head.Stall(true)
+			head.StallStreams(true)
 		}
 	})
 	var late *result
--- a/test/gateway/fleet_test.go
+++ b/test/gateway/fleet_test.go
@@ -61,7 +61,7 @@
 type fleet struct {
 	t      *testing.T
 	dir    string // of settings and logs
-	estate *estate.Estate
+	estate *estate.Platform
 	nodes  []*node
 	next   int
 	mu     sync.Mutex
@@ -97,10 +97,10 @@
 	t.Cleanup(f.close) // after the folder was made, so that the logs can still be read
 	f.estate.Configure(1, 5000, "key-1", "key-2")
 	for range 8 {
-		f.estate.Add("engines")
+		f.estate.StartWorker("engines")
 	}
 	for range 2 {
-		f.estate.Add("plain")
+		f.estate.StartWorker("plain")
 	}
 	for i := range 3 {
 		free := freeAddresses(t, 5)
@@ -228,7 +228,7 @@
 
 // whole reports whether the stream came whole and belongs to the request.
 func (r *result) whole() bool {
-	if r.err != nil || r.status != http.StatusOK || len(r.events) != estate.Events {
+	if r.err != nil || r.status != http.StatusOK || len(r.events) != estate.EventsPerStream {
 		return false
 	}
 	for i, e := range r.events {
@@ -303,7 +303,7 @@
 	for i := range results {
 		wg.Go(func() { results[i] = f.stream(f.nodes[i%3], "key-1") })
 	}
-	time.Sleep(4 * estate.EventGap)
+	time.Sleep(4 * estate.EventInterval)
 	do()
 	wg.Wait()
 	return results
--- a/test/gateway/gateway_test.go
+++ b/test/gateway/gateway_test.go
@@ -51,7 +51,7 @@
 func TestStreamsOutliveAGroupThatStandsStill(t *testing.T) {
 	f := newFleet(t)
 	head := f.estate.OpenHeads()[0]
-	head.Stall(true)
+	head.StallStreams(true)
 	for range 12 {
 		r := f.stream(f.nodes[0], "key-1")
 		qt.Check(t, r.whole(), qt.IsTrue, qt.Commentf("%+v", r))
@@ -62,7 +62,7 @@
 	f := newFleet(t)
 	for _, w := range f.estate.Workers() {
 		if w.Service == "plain" {
-			w.Lose(1)
+			w.DropNextResponses(1)
 		}
 	}
 	r := f.call(f.nodes[0], "/once/x", "key-1")
@@ -75,7 +75,7 @@
 func TestRefusalAsNotRunIsTrueAndSaysWhenToComeBack(t *testing.T) {
 	f := newFleet(t)
 	for _, w := range f.estate.Workers() {
-		w.Shed(true)
+		w.Refuse(true)
 	}
 	for _, path := range []string{"/once/x", "/again/x", "/lm/x"} {
 		r := f.call(f.nodes[0], path, "key-1")
--- a/test/gateway/leaving_test.go
+++ b/test/gateway/leaving_test.go
@@ -18,7 +18,7 @@
 			f := newFleet(t)
 			leaving := test.pick(f)
 			before := len(f.estate.Arrivals(leaving.ID))
-			leaving.Leave()
+			leaving.AnnounceLeaving()
 			ask := func(*node) *result { return test.ask(f, f.nodes[0]) }
 			f.load(ask, func() bool { return len(f.estate.Arrivals(leaving.ID)) > before })
 			time.Sleep(leavingKnown)
--- a/test/gateway/limit_test.go
+++ b/test/gateway/limit_test.go
@@ -72,7 +72,7 @@
 			f := newFleet(t)
 			limited := test.pick(f)
 			ask := func(n *node) *result { return test.ask(f, n) }
-			limited.Limit("2.0")
+			limited.AnnounceLimit("2.0")
 			known := time.Now().Add(limitKnown)
 			failed := f.load(ask, func() bool { return time.Since(known) > 2*limitWindow })
 			arrivals := f.estate.Arrivals(limited.ID)
@@ -80,7 +80,7 @@
 			qt.Check(t, got <= allowed(2), qt.IsTrue, qt.Commentf("%d arrivals in a window, allowed %d", got, allowed(2)))
 			qt.Check(t, arrivals[len(arrivals)-1].After(known), qt.IsTrue, qt.Commentf("it gets nothing any more"))
 			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests were not answered though others had room"))
-			limited.Limit("")
+			limited.AnnounceLimit("")
 			lifted := time.Now()
 			usual := func() bool { return most(f.estate.Arrivals(limited.ID), lifted) > allowed(2) }
 			f.load(ask, usual)
--- a/test/gateway/pause_test.go
+++ b/test/gateway/pause_test.go
@@ -40,7 +40,7 @@
 			f := newFleet(t)
 			refusing := test.pick(f)
 			before := len(f.estate.Arrivals(refusing.ID))
-			refusing.Pause(strconv.Itoa(int(pause.Seconds())))
+			refusing.RefuseWithRetryAfter(strconv.Itoa(int(pause.Seconds())))
 			ask := func(*node) *result { return test.ask(f, f.nodes[0]) } // a pause concerns the node that was asked
 			asked := time.Now()
 			failed := f.load(ask, func() bool { return time.Since(asked) > 3*pause })
@@ -48,7 +48,7 @@
 			qt.Check(t, within(arrivals) <= pauseMargin, qt.IsTrue, qt.Commentf("%d arrivals within a pause, allowed %d", within(arrivals), pauseMargin))
 			qt.Check(t, len(arrivals) >= 2, qt.IsTrue, qt.Commentf("it is not tried again"))
 			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests were not answered though others had room"))
-			refusing.Shed(false)
+			refusing.Refuse(false)
 			again := len(f.estate.Arrivals(refusing.ID))
 			usual := func() bool { return len(f.estate.Arrivals(refusing.ID)) > again+20 }
 			f.load(ask, usual)
@@ -62,7 +62,7 @@
 func TestRequestIsRefusedAtOnceWhileAllEndpointsPause(t *testing.T) {
 	f := newFleet(t)
 	for _, w := range f.estate.Workers() {
-		w.Pause("60")
+		w.RefuseWithRetryAfter("60")
 	}
 	for _, path := range []string{"/once/x", "/lm/x"} {
 		f.await("no endpoint is asked any more", func() bool {
--- a/test/gateway/refusing_test.go
+++ b/test/gateway/refusing_test.go
@@ -14,7 +14,7 @@
 	f := newFleet(t)
 	heads := f.estate.OpenHeads()
 	before := make([]int, len(heads))
-	heads[0].Shed(true)
+	heads[0].Refuse(true)
 	for i, head := range heads {
 		before[i] = len(f.estate.Arrivals(head.ID))
 	}
@@ -26,7 +26,7 @@
 	}
 	qt.Check(t, refused < served/len(heads[1:]), qt.IsTrue, qt.Commentf("%d refused, %d served by %d others", refused, served, len(heads)-1))
 	qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests were not answered though others had room"))
-	heads[0].Shed(false)
+	heads[0].Refuse(false)
 	again := len(f.estate.Arrivals(heads[0].ID))
 	usual := func() bool { return len(f.estate.Arrivals(heads[0].ID)) > again+20 }
 	f.load(func(*node) *result { return f.stream(f.nodes[0], "key-1") }, usual)
--- a/test/integration/apply_test.go
+++ b/test/integration/apply_test.go
@@ -15,7 +15,7 @@
 
 // edit writes a changed copy of one file and returns its path.
 func (f *fleet) edit(file, from, to string) string {
-	content, err := os.ReadFile(filepath.Join(f.Files, file))
+	content, err := os.ReadFile(filepath.Join(f.ConfigDir, file))
 	f.Assert(err, qt.IsNil)
 	f.Assert(string(content), qt.Contains, from)
 	dir, err := os.MkdirTemp(f.Dir, "edit-")
@@ -29,8 +29,8 @@
 
 func TestLostAnswerToApplyIsFound(t *testing.T) {
 	f := newFleet(t)
-	f.Objects.LoseKey.Store("moorrun/state/head")
-	f.Objects.LoseAnswer.Store(1)
+	f.Objects.DropKeyPrefix.Store("moorrun/state/head")
+	f.Objects.DropNextResponses.Store(1)
 	out := f.CLI("apply", f.edit("workspace-pledges.json", `"min": 1`, `"min": 0`))
 	f.Assert(out.Code, qt.Equals, 0, qt.Commentf("%s%s", out.Stdout, out.Stderr))
 	f.Check(out.Stdout, qt.Contains, "accepted as revision 2")
@@ -40,8 +40,8 @@
 	f := newFleet(t)
 	const operation = "11111111-2222-3333-4444-555555555555"
 	mine := f.edit("workspace-pledges.json", `"min": 1`, `"min": 0`)
-	f.Objects.LoseKey.Store("moorrun/state/head")
-	f.Objects.LoseAnswer.Store(1)
+	f.Objects.DropKeyPrefix.Store("moorrun/state/head")
+	f.Objects.DropNextResponses.Store(1)
 	f.Check(f.CLI("apply", mine, "--operation", operation).Code, qt.Equals, 0)
 	other := f.edit("workspace-gifts.json", `"latency_ms": 1000`, `"latency_ms": 900`)
 	f.Check(f.CLI("apply", other).Code, qt.Equals, 0)
@@ -100,7 +100,7 @@
 	unknown := f.CLI("apply", f.edit("pool.json", `"workspace": "gifts"`, `"workspace": "nobody"`))
 	f.Check(unknown.Code, qt.Equals, 2)
 	f.Check(unknown.Stderr, qt.Contains, "/shares/2/workspace")
-	f.Check(f.CLI("apply", f.Files).Stdout, qt.Contains, "unchanged at revision 1")
+	f.Check(f.CLI("apply", f.ConfigDir).Stdout, qt.Contains, "unchanged at revision 1")
 }
 
 func TestVersionRollsAndDrainsLeaveNobodyWaiting(t *testing.T) {
@@ -108,7 +108,7 @@
 	out := f.CLI("apply", f.edit("workspace-donors.json", `"version": "1"`, `"version": "2"`), "--wait")
 	f.Assert(revisionText.MatchString(out.Stdout), qt.IsTrue, qt.Commentf("%s", out.Stderr))
 	f.until("every letters group at version 2", func() bool {
-		f.Check(f.letter(0, "while rolling", 3, nil).Whole, qt.IsTrue)
+		f.Check(f.letter(0, "while rolling", 3, nil).Complete, qt.IsTrue)
 		s, err := f.Status()
 		if err != nil {
 			return false
@@ -123,7 +123,7 @@
 	})
 	f.Check(f.CLI("drain", "rvk-2-a-1").Code, qt.Equals, 0)
 	f.until("the drained VM in no group", func() bool {
-		f.Check(f.letter(2, "while draining", 3, nil).Whole, qt.IsTrue)
+		f.Check(f.letter(2, "while draining", 3, nil).Complete, qt.IsTrue)
 		id, _, _ := f.groupOf("rvk-2-a-1")
 		return id == ""
 	})
--- a/test/integration/docs_test.go
+++ b/test/integration/docs_test.go
@@ -21,7 +21,7 @@
 	f.Assert(f.CLI("apply", f.edit("workspace-gifts.json", `"latency_ms": 1000`, `"latency_ms": 900`), "--operation", operation).Code, qt.Equals, 0)
 	into := t.TempDir()
 	names := strings.NewReplacer(
-		"operation ID", "operation "+operation, "--operation ID", "", "PATH", f.Files, "my-files", f.Files, "examples/gjafabru", f.Files,
+		"operation ID", "operation "+operation, "--operation ID", "", "PATH", f.ConfigDir, "my-files", f.ConfigDir, "examples/gjafabru", f.ConfigDir,
 		"--remove workspace/NAME", "", "NAME", "rvk-1-a-9", "DIR", into, "< operator.token", "", "SHELL", "bash",
 	)
 	seen := 0
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -44,7 +44,7 @@
 func newFleet(t *testing.T, tunes ...func(*lab.Options)) *fleet {
 	f := newBareFleet(t, tunes...)
 	f.apply()
-	f.Assert(f.UsableGroups(4, patience), qt.IsNil, qt.Commentf("%s", f.logs()))
+	f.Assert(f.WaitForUsableGroups(4, patience), qt.IsNil, qt.Commentf("%s", f.logs()))
 	return f
 }
 
@@ -53,8 +53,8 @@
 	t.Parallel()
 	c := qt.New(t)
 	o := lab.Options{
-		Dir: t.TempDir(), Bin: bin, Config: filepath.Join("..", "..", "examples", "gjafabru"),
-		TokenEvery: 10 * time.Millisecond, Prefill: 10 * time.Millisecond, Load: 200 * time.Millisecond, LoadsASecond: 100,
+		Dir: t.TempDir(), BinDir: bin, Config: filepath.Join("..", "..", "examples", "gjafabru"),
+		TokenInterval: 10 * time.Millisecond, Prefill: 10 * time.Millisecond, WeightLoadTime: 200 * time.Millisecond, LoadsPerSecond: 100,
 	}
 	for _, tune := range tunes {
 		tune(&o)
@@ -73,14 +73,14 @@
 }
 
 func (f *fleet) apply() {
-	err := lab.Until(patience, "an accepted configuration", func() bool { return f.CLI("apply", f.Files, "--wait").Code == 0 })
+	err := lab.WaitUntil(patience, "an accepted configuration", func() bool { return f.CLI("apply", f.ConfigDir, "--wait").Code == 0 })
 	f.Assert(err, qt.IsNil, qt.Commentf("%s", f.logs()))
 }
 
 func (f *fleet) logs() string {
 	text := ""
 	for _, n := range f.nodes {
-		content, _ := os.ReadFile(n.Log)
+		content, _ := os.ReadFile(n.LogFile)
 		text += n.Settings.VM + ":\n" + string(content[max(0, len(content)-3000):]) + "\n"
 	}
 	return text
@@ -90,7 +90,7 @@
 // failed are shown whole.
 func (f *fleet) checkLogs(t *testing.T) {
 	for _, n := range f.nodes {
-		content, _ := os.ReadFile(n.Log)
+		content, _ := os.ReadFile(n.LogFile)
 		if t.Failed() {
 			t.Logf("%s:\n%s", n.Settings.VM, content)
 		}
@@ -107,7 +107,7 @@
 // until fails the test unless ok becomes true in time.
 func (f *fleet) until(what string, ok func() bool) {
 	f.Helper()
-	f.Assert(lab.Until(patience, what, ok), qt.IsNil, qt.Commentf("%s", f.logs()))
+	f.Assert(lab.WaitUntil(patience, what, ok), qt.IsNil, qt.Commentf("%s", f.logs()))
 }
 
 // holder returns the index of the node that holds a data centre's lease.
--- a/test/integration/nodes_test.go
+++ b/test/integration/nodes_test.go
@@ -33,7 +33,7 @@
 		now, _, _ := f.groupOf(vm)
 		return now == ""
 	})
-	f.Assert(f.UsableGroups(4, patience), qt.IsNil, qt.Commentf("%s", f.logs()))
+	f.Assert(f.WaitForUsableGroups(4, patience), qt.IsNil, qt.Commentf("%s", f.logs()))
 }
 
 func TestKilledLeaseHolderIsReplaced(t *testing.T) {
@@ -47,7 +47,7 @@
 	})
 	f.loseVM("rvk-1-a-3")
 	reply := f.letter((i+1)%3, "served on", 4, nil)
-	f.Check(reply.Whole, qt.IsTrue)
+	f.Check(reply.Complete, qt.IsTrue)
 }
 
 func TestDataCentreWithoutNodesIsCaredForByOthers(t *testing.T) {
@@ -77,7 +77,7 @@
 	f.nodes[i].Pause(false)
 	f.until("the paused node hears the others again", func() bool {
 		out := f.CLIAt(lab.OperatorToken, []string{f.nodes[i].Settings.AdminAddress}, "status", "-o", "json")
-		return out.Code == 0 && strings.Contains(out.Stdout, `"rvk-1-a-9"`) && f.letter(i, "back", 2, nil).Whole
+		return out.Code == 0 && strings.Contains(out.Stdout, `"rvk-1-a-9"`) && f.letter(i, "back", 2, nil).Complete
 	})
 	now, _ := f.Objects.Object("moorrun/state/domains/rvk-1-a")
 	f.Check(string(now.Value), qt.Contains, `"rvk-1-a-9"`)
@@ -101,7 +101,7 @@
 				}
 				return nil
 			})
-			if reply.Whole && reply.Text == lab.ExpectedText(prompt, 500) {
+			if reply.Complete && reply.Text == lab.ExpectedText(prompt, 500) {
 				whole.Add(1)
 			}
 		})
@@ -109,11 +109,11 @@
 	started.Wait()
 	f.nodes[0].Terminate()
 	f.until("the node out of the address answers", func() bool {
-		answer, err := lab.NewCaller("").Which(f.address(1))
+		answer, err := lab.NewCaller("").AddressList(f.address(1))
 		return err == nil && len(answer.Addresses) == 2
 	})
 	late := f.letter(0, "an address kept", 2, nil)
-	f.Check(late.Whole, qt.IsTrue, qt.Commentf("%d %v", late.Status, late.Err))
+	f.Check(late.Complete, qt.IsTrue, qt.Commentf("%d %v", late.Status, late.Err))
 	callers.Wait()
 	f.Check(whole.Load(), qt.Equals, int64(streams))
 	code, err := f.nodes[0].Wait(patience)
@@ -127,7 +127,7 @@
 	cold, err := f.StartNode("entry-4", "rvk-2")
 	f.Assert(err, qt.IsNil)
 	f.nodes = append(f.nodes, cold)
-	f.until("the cold node serves", func() bool { return f.letter(3, "cold", 3, nil).Whole })
+	f.until("the cold node serves", func() bool { return f.letter(3, "cold", 3, nil).Complete })
 	alone, err := f.StartNode("entry-5", "rvk-1", func(s *settings.Settings) { s.Peers = nil })
 	f.Assert(err, qt.IsNil)
 	f.nodes = append(f.nodes, alone)
@@ -136,7 +136,7 @@
 	f.Check(reply.Status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(reply.Verdict, qt.Equals, "not-run")
 	f.Objects.Down.Store(false)
-	f.until("the other serves once the store is back", func() bool { return f.letter(4, "alone", 3, nil).Whole })
+	f.until("the other serves once the store is back", func() bool { return f.letter(4, "alone", 3, nil).Complete })
 }
 
 func TestStreamSurvivesItsEntryVM(t *testing.T) {
@@ -150,10 +150,10 @@
 		return nil
 	}})
 	token := r.Resume
-	f.Check(r.Whole, qt.IsFalse)
+	f.Check(r.Complete, qt.IsFalse)
 	stolen := lab.NewCaller("pledges-caller-token").Resume(f.address(1), token, r.Events)
 	f.Check(stolen.Status, qt.Equals, http.StatusForbidden)
 	rest := donors.Resume(f.address(1), token, r.Events)
-	f.Check(rest.Whole, qt.IsTrue, qt.Commentf("status %d %v", rest.Status, rest.Err))
+	f.Check(rest.Complete, qt.IsTrue, qt.Commentf("status %d %v", rest.Status, rest.Err))
 	f.Check(r.Text+rest.Text, qt.Equals, lab.ExpectedText("r", tokens))
 }
--- a/test/integration/once_test.go
+++ b/test/integration/once_test.go
@@ -14,7 +14,7 @@
 const receiptPath = "/services/receipts/receipts"
 
 func (f *fleet) runs(mark string) int {
-	return f.Plains["receipts-1"].Runs(mark) + f.Plains["receipts-2"].Runs(mark)
+	return f.PlainEndpoints["receipts-1"].Runs(mark) + f.PlainEndpoints["receipts-2"].Runs(mark)
 }
 
 func TestSameKeyThroughAnyAddressRunsOnce(t *testing.T) {
@@ -22,20 +22,20 @@
 	gifts := lab.NewCaller("gifts-caller-token")
 	prefix, err := gifts.KeyPrefix(f.address(0))
 	f.Assert(err, qt.IsNil)
-	for _, p := range f.Plains {
+	for _, p := range f.PlainEndpoints {
 		p.DelayMillis.Store(200)
 	}
 	var sends sync.WaitGroup
 	for i := range 9 {
 		sends.Go(func() {
-			reply := gifts.Plain(f.address(i%3), http.MethodPost, receiptPath, "once", prefix+"/once", "100 kr")
+			reply := gifts.CallService(f.address(i%3), http.MethodPost, receiptPath, "once", prefix+"/once", "100 kr")
 			f.Check(reply.Status, qt.Equals, http.StatusOK)
 			f.Check(reply.Verdict, qt.Equals, "ran")
 		})
 	}
 	sends.Wait()
 	f.Check(f.runs("once"), qt.Equals, 1)
-	reused := gifts.Plain(f.address(1), http.MethodPost, receiptPath, "once", prefix+"/once", "200 kr")
+	reused := gifts.CallService(f.address(1), http.MethodPost, receiptPath, "once", prefix+"/once", "200 kr")
 	f.Check(reused.Status, qt.Equals, http.StatusUnprocessableEntity)
 }
 
@@ -44,15 +44,15 @@
 	gifts := lab.NewCaller("gifts-caller-token")
 	prefix, err := gifts.KeyPrefix(f.address(0))
 	f.Assert(err, qt.IsNil)
-	f.Check(gifts.Plain(f.address(0), http.MethodPost, receiptPath, "lost", prefix+"/lost", "1").Status, qt.Equals, http.StatusOK)
+	f.Check(gifts.CallService(f.address(0), http.MethodPost, receiptPath, "lost", prefix+"/lost", "1").Status, qt.Equals, http.StatusOK)
 	f.nodes[0].Kill()
-	again := gifts.Plain(f.address(1), http.MethodPost, receiptPath, "lost", prefix+"/lost", "1")
+	again := gifts.CallService(f.address(1), http.MethodPost, receiptPath, "lost", prefix+"/lost", "1")
 	f.Check(again.Verdict, qt.Equals, "may-have-run")
 	replaced, err := f.Restart(f.nodes[0])
 	f.Assert(err, qt.IsNil)
 	f.nodes[0] = replaced
-	f.until("the replaced node serves", func() bool { return f.letter(0, "x", 1, nil).Whole })
-	again = gifts.Plain(f.address(0), http.MethodPost, receiptPath, "lost", prefix+"/lost", "1")
+	f.until("the replaced node serves", func() bool { return f.letter(0, "x", 1, nil).Complete })
+	again = gifts.CallService(f.address(0), http.MethodPost, receiptPath, "lost", prefix+"/lost", "1")
 	f.Check(again.Verdict, qt.Equals, "may-have-run")
 	f.Check(f.runs("lost"), qt.Equals, 1)
 }
@@ -60,11 +60,11 @@
 func TestCutAnswersRunAtMostOnce(t *testing.T) {
 	f := newFleet(t)
 	gifts := lab.NewCaller("gifts-caller-token")
-	f.Plains["receipts-1"].CutAfter.Store(5)
-	f.Plains["receipts-2"].CutAfter.Store(5)
+	f.PlainEndpoints["receipts-1"].AbortNext.Store(5)
+	f.PlainEndpoints["receipts-2"].AbortNext.Store(5)
 	for i := range 20 {
 		mark := fmt.Sprint("cut", i)
-		reply := gifts.Plain(f.address(i%3), http.MethodPost, receiptPath, mark, "", "1")
+		reply := gifts.CallService(f.address(i%3), http.MethodPost, receiptPath, mark, "", "1")
 		runs := f.runs(mark)
 		f.Check(runs <= 1, qt.IsTrue)
 		f.Check(reply.Verdict == "not-run" && runs > 0, qt.IsFalse, qt.Commentf("said not run, ran %d times", runs))
@@ -75,13 +75,13 @@
 func TestDeadEndpointIsNotRun(t *testing.T) {
 	f := newFleet(t)
 	gifts := lab.NewCaller("gifts-caller-token")
-	f.Plains["receipts-1"].Kill()
+	f.PlainEndpoints["receipts-1"].Kill()
 	for i := range 10 {
-		reply := gifts.Plain(f.address(i%3), http.MethodPost, receiptPath, fmt.Sprint("d", i), "", "1")
+		reply := gifts.CallService(f.address(i%3), http.MethodPost, receiptPath, fmt.Sprint("d", i), "", "1")
 		f.Check(reply.Status, qt.Equals, http.StatusOK, qt.Commentf("a refused connection has not run and goes to the other endpoint"))
 		f.Check(f.runs(fmt.Sprint("d", i)), qt.Equals, 1)
 	}
-	f.Plains["receipts-2"].Kill()
-	reply := gifts.Plain(f.address(0), http.MethodPost, receiptPath, "none", "", "1")
+	f.PlainEndpoints["receipts-2"].Kill()
+	reply := gifts.CallService(f.address(0), http.MethodPost, receiptPath, "none", "", "1")
 	f.Check(reply.Verdict, qt.Equals, "not-run")
 }
--- a/test/integration/path_test.go
+++ b/test/integration/path_test.go
@@ -17,23 +17,23 @@
 func TestWholePath(t *testing.T) {
 	f := newFleet(t)
 	donors := lab.NewCaller("donors-caller-token")
-	answer, err := donors.Which(f.address(0))
+	answer, err := donors.AddressList(f.address(0))
 	f.Assert(err, qt.IsNil)
 	f.Assert(answer.Addresses, qt.HasLen, 3)
 	for i := range f.nodes {
 		reply := f.letter(i, fmt.Sprint("letter", i), 8, nil)
-		f.Check(reply.Whole, qt.IsTrue)
+		f.Check(reply.Complete, qt.IsTrue)
 		f.Check(reply.Text, qt.Equals, lab.ExpectedText(fmt.Sprint("letter", i), 8))
-		whole := donors.Complete(f.address(i), lab.Completion{Model: "letters-70b", Prompt: "w", Tokens: 3, Whole: true})
+		whole := donors.Complete(f.address(i), lab.Completion{Model: "letters-70b", Prompt: "w", Tokens: 3, NonStreaming: true})
 		f.Check(whole.Text, qt.Contains, lab.ExpectedText("w", 3))
 	}
 	burnt := f.CLI("report", "burn", "-o", "json")
 	f.Check(burnt.Stdout, qt.Contains, `"total": 6,`)
 	f.Check(regexp.MustCompile(`"bad": [1-9]`).MatchString(burnt.Stdout), qt.IsFalse, qt.Commentf("whole answers count as good: %s", burnt.Stdout))
-	receipt := lab.NewCaller("gifts-caller-token").Plain(f.address(0), http.MethodPost, "/services/receipts/receipts", "m", "", "100 kr")
+	receipt := lab.NewCaller("gifts-caller-token").CallService(f.address(0), http.MethodPost, "/services/receipts/receipts", "m", "", "100 kr")
 	f.Check(receipt.Status, qt.Equals, http.StatusOK)
 	f.Check(receipt.Verdict, qt.Equals, "ran")
-	f.Check(f.Plains["receipts-1"].Runs("m")+f.Plains["receipts-2"].Runs("m"), qt.Equals, 1)
+	f.Check(f.PlainEndpoints["receipts-1"].Runs("m")+f.PlainEndpoints["receipts-2"].Runs("m"), qt.Equals, 1)
 }
 
 func TestRefusalsSayThatNothingRan(t *testing.T) {
@@ -53,13 +53,13 @@
 		f.Check(reply.Verdict, qt.Equals, "not-run", qt.Commentf(c.name))
 	}
 	shared := lab.NewCaller("pledges-caller-token").Complete(f.address(0), lab.Completion{Model: "letters-70b", Prompt: "p", Tokens: 1})
-	f.Check(shared.Whole, qt.IsTrue)
+	f.Check(shared.Complete, qt.IsTrue)
 }
 
 func TestEachCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	f := newFleet(t)
 	for _, e := range f.Engines {
-		e.CrossNext.Store(true) // the first answer of each engine is another request's
+		e.MisattributeNext.Store(true) // the first answer of each engine is another request's
 	}
 	var callers sync.WaitGroup
 	for i := range 40 {
@@ -84,14 +84,14 @@
 		}
 		return nil
 	})
-	f.Check(reply.Whole, qt.IsFalse)
+	f.Check(reply.Complete, qt.IsFalse)
 	f.Check(reply.Verdict, qt.Equals, "may-have-run")
 	f.Check(reply.Events < 400, qt.IsTrue)
 	f.until("the broken group out of use, then whole again without the lost VM", func() bool {
 		id, _, _ := f.groupOf(lost)
 		return id == ""
 	})
-	f.Assert(f.UsableGroups(4, patience), qt.IsNil)
+	f.Assert(f.WaitForUsableGroups(4, patience), qt.IsNil)
 }
 
 func TestGroupOutOfUseOnceAMemberIsSilent(t *testing.T) {
@@ -109,7 +109,7 @@
 	}
 	f.until("the group out of use", func() bool { return !usableNow() })
 	reply := f.letter(0, "others serve on", 4, nil)
-	f.Check(reply.Whole, qt.IsTrue)
+	f.Check(reply.Complete, qt.IsTrue)
 	f.Engines[vm].Freeze(false)
 	f.until("the group back in use, the store still down", usableNow)
 	f.Objects.Down.Store(false)
@@ -119,11 +119,11 @@
 	f := newFleet(t)
 	reply := f.letter(1, "leaving", 500, func(n int) error {
 		if n == 3 {
-			return lab.ErrLate
+			return lab.ErrCallerLeft
 		}
 		return nil
 	})
-	f.Check(reply.Err, qt.Equals, lab.ErrLate)
+	f.Check(reply.Err, qt.Equals, lab.ErrCallerLeft)
 	f.until("a cancelled stream at an engine", func() bool {
 		total := int64(0)
 		for _, e := range f.Engines {
--- a/test/integration/pause_test.go
+++ b/test/integration/pause_test.go
@@ -36,12 +36,12 @@
 	tried := func() int64 {
 		n := int64(0)
 		for _, e := range f.Engines {
-			n += e.Tried.Load()
+			n += e.Requests.Load()
 		}
 		return n
 	}
 	for _, e := range f.Engines {
-		e.Pause.Store(pauseSeconds)
+		e.RetryAfterSeconds.Store(pauseSeconds)
 	}
 	f.refusedAtOnce(tried, func() lab.Reply { return f.letter(0, "p", 1, nil) })
 }
@@ -49,30 +49,32 @@
 // Guards against a node sending on to a group whose engine refuses with Retry-After while others have room.
 func TestGroupThatAsksForAPauseIsPassedOver(t *testing.T) {
 	f := newFleet(t)
-	f.until("a letter", func() bool { return f.letter(0, "first", 1, nil).Whole })
+	f.until("a letter", func() bool { return f.letter(0, "first", 1, nil).Complete })
 	var asking string
 	for vm, e := range f.Engines {
 		if e.Runs.Load() > 0 {
 			asking = vm
-			e.Pause.Store(pauseSeconds)
+			e.RetryAfterSeconds.Store(pauseSeconds)
 		}
 	}
-	before := f.Engines[asking].Tried.Load()
+	before := f.Engines[asking].Requests.Load()
 	for i := range 40 {
-		f.Check(f.letter(0, fmt.Sprint("letter", i), 1, nil).Whole, qt.IsTrue)
+		f.Check(f.letter(0, fmt.Sprint("letter", i), 1, nil).Complete, qt.IsTrue)
 	}
-	f.Check(f.Engines[asking].Tried.Load()-before <= 1, qt.IsTrue, qt.Commentf("asked %d times", f.Engines[asking].Tried.Load()-before))
+	f.Check(f.Engines[asking].Requests.Load()-before <= 1, qt.IsTrue, qt.Commentf("asked %d times", f.Engines[asking].Requests.Load()-before))
 }
 
 // Guards against a node asking endpoints of a plain service on that turn calls away with Retry-After.
 func TestPlainEndpointsThatAskForAPauseAreLeftAlone(t *testing.T) {
 	f := newFleet(t)
-	for _, p := range f.Plains {
-		p.Pause.Store(pauseSeconds)
+	for _, p := range f.PlainEndpoints {
+		p.RetryAfterSeconds.Store(pauseSeconds)
+	}
+	refused := func() int64 {
+		return f.PlainEndpoints["receipts-1"].Refused.Load() + f.PlainEndpoints["receipts-2"].Refused.Load()
 	}
-	refused := func() int64 { return f.Plains["receipts-1"].Refused.Load() + f.Plains["receipts-2"].Refused.Load() }
 	gifts := lab.NewCaller("gifts-caller-token")
 	f.refusedAtOnce(refused, func() lab.Reply {
-		return gifts.Plain(f.address(0), http.MethodPost, receiptPath, "m", "", "100 kr")
+		return gifts.CallService(f.address(0), http.MethodPost, receiptPath, "m", "", "100 kr")
 	})
 }
--- a/test/integration/places_test.go
+++ b/test/integration/places_test.go
@@ -18,19 +18,19 @@
 		takesMS = 500
 	)
 	f := newFleet(t)
-	for _, p := range f.Plains {
+	for _, p := range f.PlainEndpoints {
 		p.DelayMillis.Store(takesMS)
 	}
 	gifts := lab.NewCaller("gifts-caller-token")
 	var calls sync.WaitGroup
 	for i := range callers {
 		calls.Go(func() {
-			reply := gifts.Plain(f.address(i%len(f.nodes)), http.MethodPost, receiptPath, "m", "", "100 kr")
+			reply := gifts.CallService(f.address(i%len(f.nodes)), http.MethodPost, receiptPath, "m", "", "100 kr")
 			f.Check(reply.Status, qt.Equals, http.StatusOK)
 		})
 	}
 	calls.Wait()
-	for name, p := range f.Plains {
-		f.Check(p.MostAtOnce() <= places, qt.IsTrue, qt.Commentf("%s had %d calls at a time, takes %d", name, p.MostAtOnce(), places))
+	for name, p := range f.PlainEndpoints {
+		f.Check(p.MaxConcurrent() <= places, qt.IsTrue, qt.Commentf("%s had %d calls at a time, takes %d", name, p.MaxConcurrent(), places))
 	}
 }
--- a/test/slopes/main.go
+++ b/test/slopes/main.go
@@ -80,7 +80,7 @@
 	if err := writeConfig(filepath.Join(home, "in"), vms); err != nil {
 		return nil, err
 	}
-	l, err := lab.New(lab.Options{Dir: home, Bin: dir, Config: filepath.Join(home, "in"), LoadsASecond: 1000, Load: 50 * time.Millisecond, TokenEvery: 10 * time.Millisecond})
+	l, err := lab.New(lab.Options{Dir: home, BinDir: dir, Config: filepath.Join(home, "in"), LoadsPerSecond: 1000, WeightLoadTime: 50 * time.Millisecond, TokenInterval: 10 * time.Millisecond})
 	if err != nil {
 		return nil, err
 	}
@@ -91,9 +91,9 @@
 		}
 	}
 	const limit = 60 * time.Second
-	err = lab.Until(limit, "an accepted configuration", func() bool { return l.CLI("apply", l.Files, "--wait").Code == 0 })
+	err = lab.WaitUntil(limit, "an accepted configuration", func() bool { return l.CLI("apply", l.ConfigDir, "--wait").Code == 0 })
 	if err == nil {
-		err = l.UsableGroups(vms/4, limit)
+		err = l.WaitForUsableGroups(vms/4, limit)
 	}
 	if err != nil {
 		l.Close()
@@ -145,20 +145,20 @@
 	var busiest, sum lab.Usage
 	for _, n := range l.Nodes() {
 		u := lab.UsageOf(n.PID()).Since(before[n.PID()])
-		sum.CPUSeconds, sum.Bytes, sum.MemoryMB = sum.CPUSeconds+u.CPUSeconds, sum.Bytes+u.Bytes, sum.MemoryMB+u.MemoryMB
+		sum.CPUSeconds, sum.IOBytes, sum.MemoryMB = sum.CPUSeconds+u.CPUSeconds, sum.IOBytes+u.IOBytes, sum.MemoryMB+u.MemoryMB
 		if u.CPUSeconds > busiest.CPUSeconds {
 			busiest = u
 		}
 	}
 	k := float64(len(before))
 	line(nodes, vms, "busiest", busiest)
-	line(nodes, vms, "mean", lab.Usage{CPUSeconds: sum.CPUSeconds / k, Bytes: sum.Bytes / k, MemoryMB: sum.MemoryMB / k})
+	line(nodes, vms, "mean", lab.Usage{CPUSeconds: sum.CPUSeconds / k, IOBytes: sum.IOBytes / k, MemoryMB: sum.MemoryMB / k})
 	return nil
 }
 
 func line(nodes, vms int, name string, u lab.Usage) {
 	const kb = 1000
-	fmt.Printf("%6d %6d  %-8s %8.2f %8.1f %8.1f\n", nodes, vms, name, 100*u.CPUSeconds/window.Seconds(), u.Bytes/kb/window.Seconds(), u.MemoryMB)
+	fmt.Printf("%6d %6d  %-8s %8.2f %8.1f %8.1f\n", nodes, vms, name, 100*u.CPUSeconds/window.Seconds(), u.IOBytes/kb/window.Seconds(), u.MemoryMB)
 }
 
 // changes prints what one accepted change costs the nodes, beyond what they use at rest.
@@ -172,7 +172,7 @@
 	total := func() (u lab.Usage) {
 		for _, n := range l.Nodes() {
 			one := lab.UsageOf(n.PID())
-			u.CPUSeconds, u.Bytes = u.CPUSeconds+one.CPUSeconds, u.Bytes+one.Bytes
+			u.CPUSeconds, u.IOBytes = u.CPUSeconds+one.CPUSeconds, u.IOBytes+one.IOBytes
 		}
 		return u
 	}
@@ -189,12 +189,12 @@
 	}
 	used := total().Since(start)
 	took := time.Since(began).Seconds() / window.Seconds()
-	fmt.Printf("%6d nodes %8.2f ms %8.1f KB\n", nodes, 1000*(used.CPUSeconds-took*rest.CPUSeconds)/applies, (used.Bytes-took*rest.Bytes)/1000/applies)
+	fmt.Printf("%6d nodes %8.2f ms %8.1f KB\n", nodes, 1000*(used.CPUSeconds-took*rest.CPUSeconds)/applies, (used.IOBytes-took*rest.IOBytes)/1000/applies)
 	return nil
 }
 
 func bump(l *lab.Lab, i int) error {
-	file := filepath.Join(l.Files, "w.json")
+	file := filepath.Join(l.ConfigDir, "w.json")
 	var w config.Workspace
 	content, err := os.ReadFile(file)
 	if err != nil {
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -15,10 +15,10 @@
 	length := time.Duration(200+w.rand.IntN(2500)) * time.Millisecond
 	i := w.rand.IntN(len(w.nodes))
 	node := w.nodes[i]
-	links := []standin.Fault{standin.Cut, standin.Silent, standin.OneWay, standin.Slow}
+	links := []standin.Fault{standin.Disconnect, standin.Stall, standin.StallReplies, standin.Delay}
 	fault := links[w.rand.IntN(len(links))]
 	engine := w.lab.Engines[w.engine()]
-	plain := w.lab.Plains[[]string{"receipts-1", "receipts-2"}[w.rand.IntN(2)]]
+	plain := w.lab.PlainEndpoints[[]string{"receipts-1", "receipts-2"}[w.rand.IntN(2)]]
 	switch w.rand.IntN(14) {
 	case 0:
 		node.Kill()
@@ -29,23 +29,23 @@
 		time.Sleep(length)
 		node.Pause(false)
 	case 2:
-		node.Peers.Set(fault)
+		node.PeerProxy.SetFault(fault)
 		time.Sleep(length)
-		node.Peers.Set(standin.Pass)
+		node.PeerProxy.SetFault(standin.NoFault)
 	case 3:
-		node.Store.Set(fault)
+		node.StoreProxy.SetFault(fault)
 		time.Sleep(length)
-		node.Store.Set(standin.Pass)
+		node.StoreProxy.SetFault(standin.NoFault)
 	case 4:
 		w.lab.Objects.Down.Store(true)
 		time.Sleep(2 * length)
 		w.lab.Objects.Down.Store(false)
 	case 5:
-		w.lab.Objects.SlowMillis.Store(int64(100 + w.rand.IntN(600)))
+		w.lab.Objects.DelayMillis.Store(int64(100 + w.rand.IntN(600)))
 		time.Sleep(length)
-		w.lab.Objects.SlowMillis.Store(0)
+		w.lab.Objects.DelayMillis.Store(0)
 	case 6:
-		w.lab.Objects.LoseAnswer.Store(int64(1 + w.rand.IntN(5)))
+		w.lab.Objects.DropNextResponses.Store(int64(1 + w.rand.IntN(5)))
 	case 7:
 		engine.Kill()
 		time.Sleep(2 * length)
@@ -55,20 +55,20 @@
 		time.Sleep(length)
 		engine.Freeze(false)
 	case 9:
-		w.lab.Links[engine.VM].Set(fault)
+		w.lab.EngineProxies[engine.VM].SetFault(fault)
 		time.Sleep(length)
-		w.lab.Links[engine.VM].Set(standin.Pass)
+		w.lab.EngineProxies[engine.VM].SetFault(standin.NoFault)
 	case 10:
-		engine.CrossNext.Store(true)
-		plain.CutAfter.Store(int64(1 + w.rand.IntN(3)))
+		engine.MisattributeNext.Store(true)
+		plain.AbortNext.Store(int64(1 + w.rand.IntN(3)))
 	case 11:
 		w.lab.CLI("drain", engine.VM)
 		time.Sleep(length)
 		w.lab.CLI("drain", engine.VM, "--undo")
 	case 12:
-		engine.Pause.Store(1)
+		engine.RetryAfterSeconds.Store(1)
 		time.Sleep(length)
-		engine.Pause.Store(0)
+		engine.RetryAfterSeconds.Store(0)
 	default: // two at once: a paused node, and the store out
 		node.Pause(true)
 		w.lab.Objects.Down.Store(true)
@@ -100,12 +100,12 @@
 // heal ends whatever is still broken.
 func (w *walk) heal() {
 	w.lab.Objects.Down.Store(false)
-	w.lab.Objects.SlowMillis.Store(0)
-	w.lab.Objects.LoseAnswer.Store(0)
+	w.lab.Objects.DelayMillis.Store(0)
+	w.lab.Objects.DropNextResponses.Store(0)
 	for vm := range w.lab.Engines {
-		w.lab.Links[vm].Set(standin.Pass)
+		w.lab.EngineProxies[vm].SetFault(standin.NoFault)
 	}
-	_ = lab.Until(10*time.Second, "drains undone", func() bool {
+	_ = lab.WaitUntil(10*time.Second, "drains undone", func() bool {
 		s, err := w.lab.Status()
 		if err != nil {
 			return false
--- a/test/soak/load.go
+++ b/test/soak/load.go
@@ -26,7 +26,7 @@
 		w.tally.request()
 		whole := lab.ExpectedText(prompt, tokens)
 		switch {
-		case reply.Status == http.StatusOK && reply.Whole:
+		case reply.Status == http.StatusOK && reply.Complete:
 			w.tally.check(reply.Text == whole, "prompt %s got %q as its whole answer", prompt, reply.Text)
 		case reply.Status == http.StatusOK:
 			w.tally.check(strings.HasPrefix(whole, reply.Text), "prompt %s got %q as part of its answer", prompt, reply.Text)
@@ -44,7 +44,7 @@
 		return
 	}
 	rest := c.Resume(w.address(node), cut.Resume, cut.Events)
-	if rest.Status == http.StatusOK && rest.Whole {
+	if rest.Status == http.StatusOK && rest.Complete {
 		w.tally.check(cut.Text+rest.Text == lab.ExpectedText(prompt, tokens), "prompt %s resumed to %q + %q", prompt, cut.Text, rest.Text)
 	}
 }
@@ -66,7 +66,7 @@
 func (w *walk) sendReceipt(gifts *lab.Caller, node int, mark, key string) {
 	final := ""
 	for send := range 5 {
-		reply := gifts.Plain(w.address(node+send), http.MethodPost, "/services/receipts/receipts", mark, key, "1")
+		reply := gifts.CallService(w.address(node+send), http.MethodPost, "/services/receipts/receipts", mark, key, "1")
 		w.tally.request()
 		if reply.Err == nil {
 			final = reply.Verdict
@@ -90,7 +90,7 @@
 func (w *walk) checkRuns() {
 	for mark, final := range w.calls.last {
 		runs := 0
-		for _, p := range w.lab.Plains {
+		for _, p := range w.lab.PlainEndpoints {
 			runs += p.Runs(mark)
 		}
 		w.tally.check(runs <= 1, "call %s ran %d times", mark, runs)
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -52,8 +52,8 @@
 		return 0, err
 	}
 	l, err := lab.New(lab.Options{
-		Dir: dir, Bin: dir, Config: filepath.Join("examples", "gjafabru"), TokenEvery: 10 * time.Millisecond,
-		Prefill: 10 * time.Millisecond, Load: 300 * time.Millisecond, LoadsASecond: 50, VMListLag: 500 * time.Millisecond, Linked: true,
+		Dir: dir, BinDir: dir, Config: filepath.Join("examples", "gjafabru"), TokenInterval: 10 * time.Millisecond,
+		Prefill: 10 * time.Millisecond, WeightLoadTime: 300 * time.Millisecond, LoadsPerSecond: 50, VMListLag: 500 * time.Millisecond, FaultProxies: true,
 	})
 	if err != nil {
 		return 0, err
@@ -81,13 +81,13 @@
 			return err
 		}
 		w.nodes = append(w.nodes, n)
-		w.logs[n.Log] = true
+		w.logs[n.LogFile] = true
 	}
 	const limit = 30 * time.Second
-	if err := lab.Until(limit, "an accepted configuration", func() bool { return w.lab.CLI("apply", w.lab.Files, "--wait").Code == 0 }); err != nil {
+	if err := lab.WaitUntil(limit, "an accepted configuration", func() bool { return w.lab.CLI("apply", w.lab.ConfigDir, "--wait").Code == 0 }); err != nil {
 		return err
 	}
-	return w.lab.UsableGroups(4, limit)
+	return w.lab.WaitForUsableGroups(4, limit)
 }
 
 // walk runs load, operators and faults side by side.
@@ -128,7 +128,7 @@
 // settle ends every fault and waits until all groups are in use again.
 func (w *walk) settle() error {
 	w.heal()
-	err := w.lab.UsableGroups(4, time.Minute)
+	err := w.lab.WaitForUsableGroups(4, time.Minute)
 	if err == nil {
 		return nil
 	}
--- a/test/soak/operators.go
+++ b/test/soak/operators.go
@@ -37,7 +37,7 @@
 // every unknown outcome by its operation id.
 func (w *walk) operate(operator int) {
 	r := rand.New(rand.NewPCG(uint64(operator), 1)) //nolint:gosec // repeatable on purpose
-	content, err := os.ReadFile(filepath.Join(w.lab.Files, "workspace-gifts.json"))
+	content, err := os.ReadFile(filepath.Join(w.lab.ConfigDir, "workspace-gifts.json"))
 	if err != nil {
 		w.tally.violate("%v", err)
 		return
