--- a/internal/standin/call_counter.go
+++ b/internal/standin/call_counter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CallCounter counts calls to the object API by second.
+// CallCounter counts the reads and writes of the object API per second.
 type CallCounter struct {
 	started time.Time
 	mu      sync.Mutex
@@ -13,12 +13,12 @@
 	writes  map[int]int
 }
 
-// NewCallCounter returns a counter whose first second begins now.
+// NewCallCounter returns a counter whose seconds are numbered from now.
 func NewCallCounter() *CallCounter {
 	return &CallCounter{started: time.Now(), reads: make(map[int]int), writes: make(map[int]int)}
 }
 
-// Add counts one call.
+// Add counts one call in the current second.
 func (c *CallCounter) Add(write bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// Since returns the calls from that instant on, and the highest of one second.
+// Since returns the number of calls from the second of at on, and the maximum within one second.
 func (c *CallCounter) Since(at time.Time) (reads, writes, maxReads, maxWrites int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,41 +12,41 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// EngineOptions shape a stand-in engine.
+// EngineOptions configures an Engine.
 type EngineOptions struct {
 	VM              string
 	ChecksOrders    bool
 	TokenInterval   time.Duration
-	Prefill         time.Duration // before the first token
-	LoadReportLag   time.Duration // by which reports of load are late
-	PrefixCacheSize int           // prompt beginnings its cache holds; 0 for no cache
+	Prefill         time.Duration // time before the first token
+	LoadReportLag   time.Duration // age up to which a reported load is repeated
+	PrefixCacheSize int           // number of prompt prefixes in the cache; 0 disables it
 	Weights         *WeightStore
 	Registry        *EngineRegistry
 }
 
-// Engine is a stand-in for the model engine of one VM.
+// Engine emulates the model engine of one VM.
 type Engine struct {
 	*Server
 	EngineOptions
-	SlowdownFactor    atomic.Int64 // factor on every time, 0 means 1
-	FailAll           atomic.Bool  // answers 500 to every completion
-	RetryAfterSeconds atomic.Int64 // seconds of Retry-After with which it refuses every completion; 0: it does not
-	MisattributeNext  atomic.Bool  // the next completion is answered under another request's id
-	Runs              atomic.Int64 // completions begun
-	Requests          atomic.Int64 // completions asked for
+	SlowdownFactor    atomic.Int64 // multiplies prefill and token intervals; 0 means 1
+	FailAll           atomic.Bool  // responds 500 to every completion
+	RetryAfterSeconds atomic.Int64 // if not 0, refuses every completion with 503 and this Retry-After
+	MisattributeNext  atomic.Bool  // the next response carries the ID and text of another request
+	Runs              atomic.Int64 // completions started
+	Requests          atomic.Int64 // completions received, refused ones included
 	Cancelled         atomic.Int64
 	Cache             PrefixCache
 
-	mu       sync.Mutex
-	state    infra.EngineState
-	order    infra.Order
-	held     string // model and version whose weights are in memory
-	readyAt  time.Time
-	streams  map[string]*stream
-	running  int
-	waiting  int
-	reported reportedLoad
-	freed    *sync.Cond
+	mu            sync.Mutex
+	state         infra.EngineState
+	order         infra.Order
+	loadedWeights string // model@version whose weights are in memory
+	readyAt       time.Time
+	streams       map[string]*stream
+	running       int
+	waiting       int
+	reported      reportedLoad
+	placeFreed    *sync.Cond
 }
 
 type reportedLoad struct {
@@ -54,14 +54,14 @@
 	running, waiting int
 }
 
-// StartEngine starts an engine in no group.
+// StartEngine starts an engine that is in no group.
 func StartEngine(o EngineOptions) (*Engine, error) {
 	e := &Engine{EngineOptions: o, streams: make(map[string]*stream)}
-	e.freed = sync.NewCond(&e.mu)
+	e.placeFreed = sync.NewCond(&e.mu)
 	e.reset()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /engine/state", e.answerState)
-	mux.HandleFunc("POST /engine/order", e.obey)
+	mux.HandleFunc("GET /engine/state", e.handleState)
+	mux.HandleFunc("POST /engine/order", e.handleOrder)
 	mux.HandleFunc("POST /engine/completions", e.complete)
 	mux.HandleFunc("GET /engine/streams/{id}", e.resume)
 	mux.HandleFunc("DELETE /engine/streams/{id}", e.cancel)
@@ -75,11 +75,11 @@
 
 func (e *Engine) reset() {
 	e.state = infra.EngineState{VM: e.VM, Boot: fmt.Sprintf("%x", rand.Uint64())}
-	e.order, e.held, e.streams = infra.Order{}, "", make(map[string]*stream)
+	e.order, e.loadedWeights, e.streams = infra.Order{}, "", make(map[string]*stream)
 	e.running, e.waiting = 0, 0
 }
 
-// Restart brings a killed engine back with nothing in memory.
+// Restart starts a killed engine again at its address, with empty state and a new boot ID.
 func (e *Engine) Restart() error {
 	e.mu.Lock()
 	e.reset()
@@ -95,7 +95,7 @@
 
 func (e *Engine) ready() bool { return e.state.Group != "" && !time.Now().Before(e.readyAt) }
 
-// State returns what the engine is, without lag.
+// State returns the current state; unlike the HTTP API it ignores LoadReportLag.
 func (e *Engine) State() infra.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,7 +105,7 @@
 	return s
 }
 
-func (e *Engine) answerState(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleState(w http.ResponseWriter, _ *http.Request) {
 	s := e.State()
 	e.mu.Lock()
 	if time.Since(e.reported.at) > e.LoadReportLag {
@@ -115,10 +115,10 @@
 		s.Running, s.Waiting = e.reported.running, e.reported.waiting
 	}
 	e.mu.Unlock()
-	answerJSON(w, s)
+	writeJSON(w, s)
 }
 
-func (e *Engine) obey(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o infra.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -131,10 +131,10 @@
 		return
 	}
 	weights := o.Model + "@" + o.Version
-	if o.Model != "" && e.held != weights {
-		load := e.Weights.Load()
+	if o.Model != "" && e.loadedWeights != weights {
+		load := e.Weights.StartLoad()
 		e.readyAt = time.Now().Add(load)
-		e.held = weights
+		e.loadedWeights = weights
 		e.state.LoadMillis = load.Milliseconds()
 	}
 	e.order = o
@@ -144,7 +144,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// pace is a duration under the engine's slowness.
-func (e *Engine) pace(d time.Duration) time.Duration {
+// scaled returns d multiplied by SlowdownFactor.
+func (e *Engine) scaled(d time.Duration) time.Duration {
 	return d * time.Duration(max(1, e.SlowdownFactor.Load()))
 }
--- /dev/null
+++ b/internal/standin/engine_registry.go
@@ -0,0 +1,39 @@
+package standin
+
+import "sync"
+
+// EngineRegistry maps addresses to engines, so that a leader generates tokens only while all members of its group are
+// alive.
+type EngineRegistry struct {
+	mu      sync.Mutex
+	engines map[string]*Engine
+}
+
+// NewEngineRegistry returns an empty registry.
+func NewEngineRegistry() *EngineRegistry { return &EngineRegistry{engines: make(map[string]*Engine)} }
+
+func (r *EngineRegistry) add(e *Engine) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.engines[e.Address] = e
+}
+
+// Alias registers a further address for an engine, such as that of a proxy in front of it.
+func (r *EngineRegistry) Alias(address string, e *Engine) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.engines[address] = e
+}
+
+// allInGroup reports whether every member is alive, ready and in the given group.
+func (r *EngineRegistry) allInGroup(members []string, group string, birth int64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, address := range members {
+		e, ok := r.engines[address]
+		if !ok || !e.Alive() || !e.inGroup(group, birth) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/standin/object_api.go
+++ b/internal/standin/object_api.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-ins for the platform, the model engines and plain services, for tests,
-// the demo and measurements. Nothing of moorrund uses it.
+// Package standin emulates the platform, the model engines and plain services for tests, the demo and measurements.
+// moorrund does not import it.
 package standin
 
 import (
@@ -14,15 +14,15 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// ObjectAPI is an object store in memory with versions, conditional updates, watches and faults.
+// ObjectAPI is an in-memory object store with versions, conditional writes, watches and fault injection.
 type ObjectAPI struct {
 	*Server
-	Down              atomic.Bool  // answers 503 and applies nothing
-	DelayMillis       atomic.Int64 // added to each call
-	DropNextResponses atomic.Int64 // that many next writes are applied and their answers lost
-	DropKeyPrefix     atomic.Value // string: only writes to keys with that prefix lose answers
-	Calls             *CallCounter // what the platform would bill
-	mu                sync.Mutex   //
+	Down              atomic.Bool  // responds 503 and applies nothing
+	DelayMillis       atomic.Int64 // added latency per call
+	DropNextResponses atomic.Int64 // number of next writes that are applied without a response
+	DropKeyPrefix     atomic.Value // string: limits DropNextResponses to keys with this prefix
+	Calls             *CallCounter // the calls that the platform would bill
+	mu                sync.Mutex
 	objects           map[string]infra.Object
 	version           int64
 	changed           chan struct{}
@@ -38,15 +38,15 @@
 	mux.HandleFunc("PUT /objects/{key...}", s.write)
 	mux.HandleFunc("DELETE /objects/{key...}", s.write)
 	var err error
-	s.Server, err = StartServer("127.0.0.1:0", s.faults(mux))
+	s.Server, err = StartServer("127.0.0.1:0", s.withFaults(mux))
 	return s, err
 }
 
-func (s *ObjectAPI) faults(next http.Handler) http.Handler {
+func (s *ObjectAPI) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.Calls.Add(r.Method != http.MethodGet)
-		if slow := s.DelayMillis.Load(); slow > 0 {
-			time.Sleep(time.Duration(slow) * time.Millisecond)
+		if delay := s.DelayMillis.Load(); delay > 0 {
+			time.Sleep(time.Duration(delay) * time.Millisecond)
 		}
 		if s.Down.Load() {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
@@ -56,12 +56,12 @@
 	})
 }
 
-func answerJSON(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func number(r *http.Request, name string) int64 {
+func queryInt(r *http.Request, name string) int64 {
 	n, _ := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	return n
 }
@@ -72,10 +72,10 @@
 		http.NotFound(w, r)
 		return
 	}
-	answerJSON(w, o)
+	writeJSON(w, o)
 }
 
-// Object returns what the store holds under key.
+// Object returns the object under key, or false if there is none or it is deleted.
 func (s *ObjectAPI) Object(key string) (infra.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,25 +92,25 @@
 			return
 		}
 	}
-	version, ok := s.put(o, number(r, "if_version"))
+	version, ok := s.put(o, queryInt(r, "if_version"))
 	if !ok {
 		http.Error(w, "version has moved on", http.StatusConflict)
 		return
 	}
-	only, _ := s.DropKeyPrefix.Load().(string)
-	if s.DropNextResponses.Load() > 0 && strings.HasPrefix(key, only) {
+	prefix, _ := s.DropKeyPrefix.Load().(string)
+	if s.DropNextResponses.Load() > 0 && strings.HasPrefix(key, prefix) {
 		s.DropNextResponses.Add(-1)
 		panic(http.ErrAbortHandler)
 	}
-	answerJSON(w, infra.Object{Key: key, Version: version})
+	writeJSON(w, infra.Object{Key: key, Version: version})
 }
 
 func (s *ObjectAPI) put(o infra.Object, ifVersion int64) (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.objects[o.Key]
-	current := held.Version
-	if held.Deleted {
+	existing := s.objects[o.Key]
+	current := existing.Version
+	if existing.Deleted {
 		current = 0
 	}
 	if current != ifVersion {
@@ -125,18 +125,18 @@
 }
 
 func (s *ObjectAPI) list(w http.ResponseWriter, r *http.Request) {
-	l, _ := s.below(r.URL.Query().Get("prefix"), 0)
-	kept := l.Objects[:0]
+	l, _ := s.changedAfter(r.URL.Query().Get("prefix"), 0)
+	live := l.Objects[:0]
 	for _, o := range l.Objects {
 		if !o.Deleted {
-			kept = append(kept, o)
+			live = append(live, o)
 		}
 	}
-	l.Objects = kept
-	answerJSON(w, l)
+	l.Objects = live
+	writeJSON(w, l)
 }
 
-func (s *ObjectAPI) below(prefix string, after int64) (infra.Listing, <-chan struct{}) {
+func (s *ObjectAPI) changedAfter(prefix string, after int64) (infra.Listing, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := infra.Listing{Version: s.version, Objects: []infra.Object{}}
@@ -149,17 +149,17 @@
 }
 
 func (s *ObjectAPI) watch(w http.ResponseWriter, r *http.Request) {
-	end := time.After(time.Duration(number(r, "wait_ms")) * time.Millisecond)
+	end := time.After(time.Duration(queryInt(r, "wait_ms")) * time.Millisecond)
 	for {
-		l, changed := s.below(r.URL.Query().Get("prefix"), number(r, "after"))
+		l, changed := s.changedAfter(r.URL.Query().Get("prefix"), queryInt(r, "after"))
 		if len(l.Objects) > 0 || s.Down.Load() {
-			answerJSON(w, l)
+			writeJSON(w, l)
 			return
 		}
 		select {
 		case <-changed:
 		case <-end:
-			answerJSON(w, l)
+			writeJSON(w, l)
 			return
 		case <-r.Context().Done():
 			return
--- a/internal/standin/plain.go
+++ b/internal/standin/plain_endpoint.go
@@ -10,26 +10,27 @@
 	"time"
 )
 
-// PlainEndpoint is an endpoint of a plain service that counts each run by the caller's own mark.
+// PlainEndpoint is an endpoint of a plain service. It counts how often each call runs, by the mark that the caller sets
+// in MarkHeader.
 type PlainEndpoint struct {
 	*Server
-	DelayMillis       atomic.Int64 // before each answer, after the run
-	FailAll           atomic.Bool  // answers 500 to every call without running it
-	RetryAfterSeconds atomic.Int64 // seconds of Retry-After with which it refuses every call; 0: it does not
-	Refused           atomic.Int64 // calls refused so far
-	AbortNext         atomic.Int64 // that many next calls run and their answers are cut
-	Aborted           atomic.Int64 // answers cut so far
+	DelayMillis       atomic.Int64 // delay before each response, while the call counts as running
+	FailAll           atomic.Bool  // responds 500 to every call without running it
+	RetryAfterSeconds atomic.Int64 // if not 0, refuses every call with 503 and this Retry-After
+	Refused           atomic.Int64 // calls refused because of RetryAfterSeconds
+	AbortNext         atomic.Int64 // number of next calls that run without a response
+	Aborted           atomic.Int64 // calls aborted because of AbortNext
 
-	mu      sync.Mutex
-	runs    map[string]int
-	running int
-	most    int // of running, ever
+	mu         sync.Mutex
+	runs       map[string]int
+	running    int
+	maxRunning int
 }
 
-// MarkHeader names the call in Plain's count.
+// MarkHeader is the request header with the mark by which PlainEndpoint counts runs.
 const MarkHeader = "X-Mark"
 
-// StartPlainEndpoint starts an endpoint.
+// StartPlainEndpoint starts an endpoint without faults.
 func StartPlainEndpoint() (*PlainEndpoint, error) {
 	p := &PlainEndpoint{runs: make(map[string]int)}
 	var err error
@@ -43,9 +44,9 @@
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
 	}
-	if pause := p.RetryAfterSeconds.Load(); pause > 0 {
+	if retryAfter := p.RetryAfterSeconds.Load(); retryAfter > 0 {
 		p.Refused.Add(1)
-		w.Header().Set("Retry-After", strconv.FormatInt(pause, 10))
+		w.Header().Set("Retry-After", strconv.FormatInt(retryAfter, 10))
 		http.Error(w, "come back later", http.StatusServiceUnavailable)
 		return
 	}
@@ -66,7 +67,7 @@
 	defer p.mu.Unlock()
 	p.runs[mark]++
 	p.running++
-	p.most = max(p.most, p.running)
+	p.maxRunning = max(p.maxRunning, p.running)
 }
 
 func (p *PlainEndpoint) end() {
@@ -75,14 +76,14 @@
 	p.running--
 }
 
-// MaxConcurrent returns how many calls were running at a time at the most.
+// MaxConcurrent returns the maximum number of calls that ran concurrently.
 func (p *PlainEndpoint) MaxConcurrent() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.most
+	return p.maxRunning
 }
 
-// Runs returns how often the call of that mark has run.
+// Runs returns how often the call with the given mark has run.
 func (p *PlainEndpoint) Runs(mark string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -6,33 +6,33 @@
 	"sync/atomic"
 )
 
-// prefixBytes is how much of a prompt the stand-in's cache knows it by.
+// prefixBytes is the length of the prompt prefix that serves as cache key.
 const prefixBytes = 16
 
-// PrefixCache holds the prompts' beginnings an engine has worked on last.
+// PrefixCache is an LRU cache of prompt prefixes, as engines keep to shorten the prefill.
 type PrefixCache struct {
 	Hits   atomic.Int64
 	Misses atomic.Int64
 
-	mu   sync.Mutex
-	held []string // the latest last
+	mu      sync.Mutex
+	entries []string // least recently used first
 }
 
-// Touch reports whether the prompt's beginning was held, and holds it.
+// Touch reports whether the prompt's prefix was cached and makes it the most recently used; size is the capacity.
 func (c *PrefixCache) Touch(prompt string, size int) bool {
 	key := prompt[:min(prefixBytes, len(prompt))]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := slices.Index(c.held, key)
+	i := slices.Index(c.entries, key)
 	if i >= 0 {
-		c.held = append(slices.Delete(c.held, i, i+1), key)
+		c.entries = append(slices.Delete(c.entries, i, i+1), key)
 		c.Hits.Add(1)
 		return true
 	}
 	c.Misses.Add(1)
-	c.held = append(c.held, key)
-	if len(c.held) > size {
-		c.held = c.held[1:]
+	c.entries = append(c.entries, key)
+	if len(c.entries) > size {
+		c.entries = c.entries[1:]
 	}
 	return false
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Server is an HTTP server on loopback that can be killed, frozen and started again at its address.
+// Server is an HTTP server on loopback that can be killed, frozen and restarted at the same address.
 type Server struct {
 	Address string
 	handler http.Handler
@@ -19,13 +19,13 @@
 	frozen chan struct{} // non-nil while frozen
 }
 
-// StartServer serves handler at address; port 0 lets the kernel choose.
+// StartServer serves handler at address; with port 0 the kernel chooses the port.
 func StartServer(address string, handler http.Handler) (*Server, error) {
 	s := &Server{Address: address, handler: handler}
 	return s, s.Start()
 }
 
-// Start listens again after Kill.
+// Start listens at Address; after Kill it restarts the server.
 func (s *Server) Start() error {
 	lis, err := net.Listen("tcp", s.Address)
 	if err != nil {
@@ -45,11 +45,11 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.Thaw(r.Context())
+	s.WaitWhileFrozen(r.Context())
 	s.handler.ServeHTTP(w, r)
 }
 
-// Kill closes the listener and every connection.
+// Kill closes the listener and all connections.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// Freeze stops all answers, as a paused VM does, until on is false again.
+// Freeze holds all responses, as a paused VM does, or releases them if on is false.
 func (s *Server) Freeze(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +79,8 @@
 	return s.http != nil && s.frozen == nil
 }
 
-// Thaw waits while the server is frozen.
-func (s *Server) Thaw(ctx context.Context) {
+// WaitWhileFrozen blocks until the server is not frozen or ctx is done.
+func (s *Server) WaitWhileFrozen(ctx context.Context) {
 	s.mu.Lock()
 	frozen := s.frozen
 	s.mu.Unlock()
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// stream is one completion at the engine; it outlives its connection for a while, to be resumed.
+// stream is one completion at the engine. It can be resumed until resumeWindow after its end, without the connection
+// that started it.
 type stream struct {
-	id      string
-	prompt  string
-	tokens  int
-	mu      sync.Mutex
-	made    int // events ready to be sent
-	ended   bool
-	cut     bool
-	stopped bool
-	more    *sync.Cond
+	id        string
+	prompt    string
+	tokens    int
+	mu        sync.Mutex
+	produced  int // number of events produced so far
+	ended     bool
+	aborted   bool
+	cancelled bool
+	changed   *sync.Cond
 }
 
-// completion is the body of a request.
+// completion is the JSON body of a completion request.
 type completion struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
@@ -30,12 +31,12 @@
 }
 
 const (
-	hitSpeedup    = 5 // of the prefill when the cache holds the prompt's beginning
-	defaultTokens = 16
-	resumableFor  = 20 * time.Second
+	prefixHitSpeedup = 5 // divides the prefill time on a prefix cache hit
+	defaultTokens    = 16
+	resumeWindow     = 20 * time.Second
 )
 
-// EventText is the text of a prompt's event, so that callers can check that an answer is theirs.
+// EventText returns the text of the prompt's event number index. Callers use it to check that a response is theirs.
 func EventText(prompt string, index int) string { return fmt.Sprintf("%s-%d ", prompt, index) }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
@@ -54,18 +55,18 @@
 		w.Header().Set("X-Request-Id", "another-request")
 		c.Prompt = "another prompt"
 	}
-	if pause := e.RetryAfterSeconds.Load(); pause > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt(pause, 10))
+	if retryAfter := e.RetryAfterSeconds.Load(); retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatInt(retryAfter, 10))
 		http.Error(w, "come back later", http.StatusServiceUnavailable)
 		return
 	}
-	if status := e.begin(r); status != 0 {
+	if status := e.acquirePlace(r); status != 0 {
 		http.Error(w, "not run", status)
 		return
 	}
 	e.Runs.Add(1)
 	s := &stream{id: id, prompt: c.Prompt, tokens: c.MaxTokens}
-	s.more = sync.NewCond(&s.mu)
+	s.changed = sync.NewCond(&s.mu)
 	e.mu.Lock()
 	e.streams[id] = s
 	e.mu.Unlock()
@@ -74,19 +75,19 @@
 		s.send(w, r, 0)
 		return
 	}
-	s.sendWhole(w)
+	s.sendBody(w)
 }
 
-// begin takes a place, waiting for one while the queue is short; it returns a status for a refusal.
-func (e *Engine) begin(r *http.Request) int {
+// acquirePlace takes a place, waiting for one unless the queue is full. It returns 0, or the status of a refusal.
+func (e *Engine) acquirePlace(r *http.Request) int {
 	if e.FailAll.Load() {
 		return http.StatusInternalServerError
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	group, birth := r.Header.Get("X-Moorrun-Group"), r.Header.Get("X-Moorrun-Group-Birth")
-	right := e.state.Group == group && fmt.Sprint(e.state.GroupBirth) == birth
-	if !right || !e.ready() || e.state.Role != "leader" {
+	inGroup := e.state.Group == group && fmt.Sprint(e.state.GroupBirth) == birth
+	if !inGroup || !e.ready() || e.state.Role != "leader" {
 		return http.StatusConflict
 	}
 	if e.waiting >= e.order.Places {
@@ -94,40 +95,40 @@
 	}
 	e.waiting++
 	for e.running >= e.order.Places {
-		e.freed.Wait()
+		e.placeFreed.Wait()
 	}
 	e.waiting--
 	e.running++
 	return 0
 }
 
-// generate makes the tokens at the engine's pace, as long as the group is whole.
+// generate produces the tokens at the engine's speed; it aborts the stream if a member of the group fails.
 func (e *Engine) generate(s *stream) {
 	prefill := e.Prefill
 	if e.PrefixCacheSize > 0 && e.Cache.Touch(s.prompt, e.PrefixCacheSize) {
-		prefill /= hitSpeedup
+		prefill /= prefixHitSpeedup
 	}
-	time.Sleep(e.pace(prefill))
+	time.Sleep(e.scaled(prefill))
 	for i := 0; i < s.tokens; i++ {
 		if i > 0 {
-			time.Sleep(e.pace(e.TokenInterval))
+			time.Sleep(e.scaled(e.TokenInterval))
 		}
 		e.mu.Lock()
 		members, group, birth := e.order.Members, e.state.Group, e.state.GroupBirth
 		e.mu.Unlock()
-		if !s.add(e.Registry.whole(members, group, birth)) {
+		if !s.addEvent(e.Registry.allInGroup(members, group, birth)) {
 			break
 		}
 	}
 	s.mu.Lock()
 	s.ended = true
-	s.more.Broadcast()
+	s.changed.Broadcast()
 	s.mu.Unlock()
 	e.mu.Lock()
-	e.running = max(0, e.running-1) // a restart has counted it already
-	e.freed.Broadcast()
+	e.running = max(0, e.running-1) // Restart has already reset the count
+	e.placeFreed.Broadcast()
 	e.mu.Unlock()
-	time.AfterFunc(resumableFor, func() {
+	time.AfterFunc(resumeWindow, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.streams[s.id] == s {
@@ -136,27 +137,27 @@
 	})
 }
 
-func (s *stream) add(whole bool) bool {
+func (s *stream) addEvent(groupIntact bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopped || !whole {
-		s.cut = true
-		s.more.Broadcast()
+	if s.cancelled || !groupIntact {
+		s.aborted = true
+		s.changed.Broadcast()
 		return false
 	}
-	s.made++
-	s.more.Broadcast()
+	s.produced++
+	s.changed.Broadcast()
 	return true
 }
 
-// next waits for the event of that index and reports whether there is one.
-func (s *stream) next(index int) (ok, cut bool) {
+// waitEvent waits for the event at index, and reports whether it exists and whether the stream was aborted.
+func (s *stream) waitEvent(index int) (ok, aborted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.made <= index && !s.ended && !s.cut {
-		s.more.Wait()
+	for s.produced <= index && !s.ended && !s.aborted {
+		s.changed.Wait()
 	}
-	return s.made > index, s.cut
+	return s.produced > index, s.aborted
 }
 
 func (s *stream) send(w http.ResponseWriter, r *http.Request, from int) {
@@ -164,8 +165,8 @@
 	flusher, _ := w.(http.Flusher)
 	flusher.Flush()
 	for i := from; ; i++ {
-		ok, cut := s.next(i)
-		if cut && !ok {
+		ok, aborted := s.waitEvent(i)
+		if aborted && !ok {
 			panic(http.ErrAbortHandler)
 		}
 		if !ok {
@@ -179,11 +180,11 @@
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-func (s *stream) sendWhole(w http.ResponseWriter) {
+func (s *stream) sendBody(w http.ResponseWriter) {
 	text := ""
 	for i := 0; ; i++ {
-		ok, cut := s.next(i)
-		if cut && !ok {
+		ok, aborted := s.waitEvent(i)
+		if aborted && !ok {
 			panic(http.ErrAbortHandler)
 		}
 		if !ok {
@@ -191,10 +192,10 @@
 		}
 		text += EventText(s.prompt, i)
 	}
-	answerJSON(w, map[string]string{"text": text})
+	writeJSON(w, map[string]string{"text": text})
 }
 
-// stream returns the stream that the request names, or answers that there is none and returns nil.
+// stream returns the stream with the ID in the request path; if there is none, it responds 404 and returns nil.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -212,7 +213,7 @@
 		return
 	}
 	w.Header().Set("X-Request-Id", s.id)
-	s.send(w, r, int(number(r, "from")))
+	s.send(w, r, int(queryInt(r, "from")))
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
@@ -222,7 +223,7 @@
 	}
 	e.Cancelled.Add(1)
 	s.mu.Lock()
-	s.stopped = true
+	s.cancelled = true
 	s.mu.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
--- a/internal/standin/vm_list.go
+++ b/internal/standin/vm_list.go
@@ -8,7 +8,7 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// VMList is a list of VMs that shows each change only after a lag.
+// VMList emulates the platform's VM list, which shows each change only after a lag.
 type VMList struct {
 	*Server
 	lag     time.Duration
@@ -21,24 +21,24 @@
 	vms []infra.VM
 }
 
-// StartVMList starts an empty list with that lag.
+// StartVMList starts an empty list with the given lag.
 func StartVMList(lag time.Duration) (*VMList, error) {
 	l := &VMList{lag: lag}
 	var err error
 	l.Server, err = StartServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, l.seen())
+		writeJSON(w, l.visible())
 	}))
 	return l, err
 }
 
-// Set replaces the list.
+// Set replaces the list; clients see the change after the lag.
 func (l *VMList) Set(vms []infra.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.history = append(l.history, vmListState{time.Now(), vms})
 }
 
-// Current returns the list without the lag.
+// Current returns the latest list, ignoring the lag.
 func (l *VMList) Current() []infra.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +48,7 @@
 	return l.history[len(l.history)-1].vms
 }
 
-func (l *VMList) seen() []infra.VM {
+func (l *VMList) visible() []infra.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := []infra.VM{}
--- a/internal/standin/weight_store.go
+++ b/internal/standin/weight_store.go
@@ -8,41 +8,41 @@
 	"moorrun.dev/moorrun/internal/infra"
 )
 
-// WeightStore bears a number of VM loads a second; loads beyond it wait.
+// WeightStore emulates the rate-limited store of model weights; loads above the rate are queued.
 type WeightStore struct {
 	*Server
 	perSecond float64
 	load      time.Duration
 	mu        sync.Mutex
-	next      time.Time
+	nextStart time.Time
 	started   []time.Time
 }
 
-// StartWeightStore starts a store that bears that many loads a second, each taking so long.
+// StartWeightStore starts a store that admits perSecond loads per second, each of which takes the time load.
 func StartWeightStore(perSecond float64, load time.Duration) (*WeightStore, error) {
 	s := &WeightStore{perSecond: perSecond, load: load}
 	var err error
 	s.Server, err = StartServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, infra.WeightLimits{LoadsPerSecond: perSecond})
+		writeJSON(w, infra.WeightLimits{LoadsPerSecond: perSecond})
 	}))
 	return s, err
 }
 
-// Load returns how long a load that starts now will take.
-func (s *WeightStore) Load() time.Duration {
+// StartLoad records a load and returns its duration, including the wait in the queue.
+func (s *WeightStore) StartLoad() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.started = append(s.started, now)
-	if s.next.Before(now) {
-		s.next = now
+	if s.nextStart.Before(now) {
+		s.nextStart = now
 	}
-	wait := s.next.Sub(now)
-	s.next = s.next.Add(time.Duration(float64(time.Second) / s.perSecond))
+	wait := s.nextStart.Sub(now)
+	s.nextStart = s.nextStart.Add(time.Duration(float64(time.Second) / s.perSecond))
 	return wait + s.load
 }
 
-// Loads returns how many loads have been started.
+// Loads returns the number of loads started so far.
 func (s *WeightStore) Loads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
