--- a/internal/standin/network/port.go
+++ b/internal/standin/network/port.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// Traffic is what nodes have sent.
+// Traffic counts what one or more nodes have sent.
 type Traffic struct {
 	Datagrams            int
-	Bytes                int // of datagrams and connections
-	DatagramBytes        int // of Bytes, in datagrams
-	CrossDataCentreBytes int // of Bytes, to other data centres
+	Bytes                int // in datagrams and on connections
+	DatagramBytes        int // part of Bytes sent in datagrams
+	CrossDataCentreBytes int // part of Bytes sent to other data centres
 }
 
-// Port is one node's end of a network.
+// Port is the network interface of one node.
 type Port struct {
-	net     *Network
-	address netip.AddrPort
-	zone    int
-	inbox   chan []byte
-	calls   chan *stream  // new connections
-	done    chan struct{} // closed when reading ends
-	closed  chan struct{} // closed when no more connections are taken
+	network        *Network
+	address        netip.AddrPort
+	dataCentre     int
+	inbox          chan []byte
+	incoming       chan *conn    // connections to accept
+	readClosed     chan struct{} // closed to end ReadFromUDPAddrPort
+	listenerClosed chan struct{} // closed when the listener is closed
 
-	cut  bool
-	sent Traffic
+	unreachable bool
+	sent        Traffic
 }
 
 // Address returns the node's address.
 func (p *Port) Address() string { return p.address.String() }
 
 // DataCentre returns the number of the node's data centre.
-func (p *Port) DataCentre() int { return p.zone }
+func (p *Port) DataCentre() int { return p.dataCentre }
 
-// ReadFromUDPAddrPort takes in a datagram.
+// ReadFromUDPAddrPort waits for a datagram; it does not return the address of its sender.
 func (p *Port) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
 	case content := <-p.inbox:
 		return copy(b, content), netip.AddrPort{}, nil
-	case <-p.done:
+	case <-p.readClosed:
 		return 0, netip.AddrPort{}, os.ErrDeadlineExceeded
 	}
 }
 
-// WriteToUDPAddrPort sends a datagram.
+// WriteToUDPAddrPort sends a datagram; one to an unreachable node is lost without an error.
 func (p *Port) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
-	other, delay := p.net.reach(p, to, len(b), 1)
+	other, delay := p.network.transmit(p, to, len(b), 1)
 	if other == nil {
 		return len(b), nil
 	}
@@ -58,12 +58,12 @@
 func (p *Port) deliver(content []byte) {
 	select {
 	case p.inbox <- content:
-	default: // lost, as when a socket's buffer is full
+	default: // dropped, as when the receive buffer of a socket is full
 	}
 }
 
-// SetReadDeadline ends the reading of datagrams.
+// SetReadDeadline ends ReadFromUDPAddrPort for good, whatever the deadline. It must be called only once.
 func (p *Port) SetReadDeadline(time.Time) error {
-	close(p.done)
+	close(p.readClosed)
 	return nil
 }
--- a/internal/standin/network/stream.go
+++ b/internal/standin/network/stream.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// dialWait bounds the wait for a new connection.
-	dialWait = 300 * time.Millisecond
-	// heldUp is how often a sender looks whether a cut has ended.
-	heldUp = 50 * time.Millisecond
+	// dialTimeout bounds Dial.
+	dialTimeout = 300 * time.Millisecond
+	// reachPollInterval is the interval at which a blocked write checks whether the receiver is reachable again.
+	reachPollInterval = 50 * time.Millisecond
 )
 
-// errRefused means that nobody listens at an address.
+// errRefused is returned by Dial when the listener at the address is closed.
 var errRefused = errors.New("connection refused")
 
-// stream is one end of a connection.
-type stream struct {
+// conn is one end of a connection.
+type conn struct {
 	net.Conn
-	from *Port
-	to   netip.AddrPort
-	once sync.Once
-	gone chan struct{}
+	from   *Port
+	to     netip.AddrPort
+	once   sync.Once
+	closed chan struct{}
 
-	mu      sync.Mutex
-	replies bool // the last thing done was to read, so that a write is the next message
+	mu            sync.Mutex
+	startsMessage bool // no write since the last read, so the next write begins a message
 }
 
-// Dial connects to another node.
+// Dial connects to the node at address. It waits for the timeout if the node is unreachable.
 func (p *Port) Dial(ctx context.Context, address string) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, dialWait)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	other, delay := p.net.reach(p, to, 0, 0)
+	other, delay := p.network.transmit(p, to, 0, 0)
 	if other == nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -47,56 +47,57 @@
 	near, far := net.Pipe()
 	time.Sleep(2 * delay)
 	select {
-	case other.calls <- newStream(far, other, p.address):
-		return newStream(near, p, to), nil
-	case <-other.closed:
+	case other.incoming <- newConn(far, other, p.address):
+		return newConn(near, p, to), nil
+	case <-other.listenerClosed:
 		return nil, errRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func newStream(c net.Conn, from *Port, to netip.AddrPort) *stream {
-	return &stream{Conn: c, from: from, to: to, gone: make(chan struct{}), replies: true}
+func newConn(c net.Conn, from *Port, to netip.AddrPort) *conn {
+	return &conn{Conn: c, from: from, to: to, closed: make(chan struct{}), startsMessage: true}
 }
 
-// Read takes in what the other end has sent.
-func (s *stream) Read(b []byte) (int, error) {
-	n, err := s.Conn.Read(b)
-	s.mu.Lock()
-	s.replies = true
-	s.mu.Unlock()
+// Read implements net.Conn.
+func (c *conn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.mu.Lock()
+	c.startsMessage = true
+	c.mu.Unlock()
 	return n, err
 }
 
-// Write sends after the way's delay, once for each message; while the way is cut it waits.
-func (s *stream) Write(b []byte) (int, error) {
-	other, delay := s.from.net.reach(s.from, s.to, len(b), 0)
+// Write implements net.Conn. The first write of a message waits for the one-way delay; any write blocks while the
+// receiver is unreachable.
+func (c *conn) Write(b []byte) (int, error) {
+	other, delay := c.from.network.transmit(c.from, c.to, len(b), 0)
 	for other == nil {
 		select {
-		case <-s.gone:
+		case <-c.closed:
 			return 0, net.ErrClosed
-		case <-time.After(heldUp):
+		case <-time.After(reachPollInterval):
 		}
-		other, delay = s.from.net.reach(s.from, s.to, 0, 0)
+		other, delay = c.from.network.transmit(c.from, c.to, 0, 0)
 	}
-	s.mu.Lock()
-	first := s.replies
-	s.replies = false
-	s.mu.Unlock()
+	c.mu.Lock()
+	first := c.startsMessage
+	c.startsMessage = false
+	c.mu.Unlock()
 	if first {
 		time.Sleep(delay)
 	}
-	return s.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
-// Close ends the connection.
-func (s *stream) Close() error {
-	s.once.Do(func() { close(s.gone) })
-	return s.Conn.Close()
+// Close implements net.Conn.
+func (c *conn) Close() error {
+	c.once.Do(func() { close(c.closed) })
+	return c.Conn.Close()
 }
 
-// Listener takes the connections of other nodes to p.
+// Listener returns a listener for the connections that other nodes dial to p.
 func (p *Port) Listener() net.Listener { return &listener{port: p} }
 
 type listener struct {
@@ -107,16 +108,16 @@
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case s := <-l.port.calls:
-		return s, nil
-	case <-l.port.closed:
+	case c := <-l.port.incoming:
+		return c, nil
+	case <-l.port.listenerClosed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
-	l.once.Do(func() { close(l.port.closed) })
+	l.once.Do(func() { close(l.port.listenerClosed) })
 	return nil
 }
 
--- a/internal/standin/silence/listener.go
+++ b/internal/standin/silence/listener.go
@@ -1,5 +1,5 @@
-// Package silence is a stand-in for links on which open connections go silent for good while new ones work: no reset
-// comes, and what is written is swallowed.
+// Package silence emulates network paths on which open connections stop transferring data for good while new ones
+// work: no reset arrives, and writes succeed but are discarded.
 package silence
 
 import (
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Listener hands out the connections of another listener. Those that are open when Silence is called say and hear nothing
-// from then on.
+// Listener wraps another listener. After a call of Silence, the connections that were open at that time neither deliver
+// nor send any data.
 type Listener struct {
 	net.Listener
 
@@ -18,7 +18,7 @@
 	open map[*conn]bool
 }
 
-// New returns a Listener over lis.
+// New returns a Listener that wraps lis.
 func New(lis net.Listener) *Listener { return &Listener{Listener: lis, open: make(map[*conn]bool)} }
 
 // Accept implements net.Listener.
@@ -34,7 +34,7 @@
 	return c, nil
 }
 
-// Silence makes the open connections silent and returns how many there are.
+// Silence makes all open connections silent and returns their number.
 func (l *Listener) Silence() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	return n
 }
 
-// conn is a connection that may go silent.
+// conn is a connection that Silence can make silent.
 type conn struct {
 	net.Conn
 	listener *Listener
@@ -55,8 +55,8 @@
 	once     sync.Once
 }
 
-// Read implements net.Conn. What has arrived on a silent connection is not handed out; a deadline of the reader's own ends
-// the wait, as it does where nothing comes.
+// Read implements net.Conn. On a silent connection it discards what arrives; the read deadline still applies, as on a
+// connection on which nothing arrives.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -65,7 +65,7 @@
 			return n, err
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return 0, err
-		case err != nil: // the other side has closed it, which does not show
+		case err != nil: // the peer has closed the connection, which a silent one must not show
 			<-c.closed
 			return 0, net.ErrClosed
 		}
--- a/internal/standin/silence/listener_test.go
+++ b/internal/standin/silence/listener_test.go
@@ -11,20 +11,20 @@
 	"moorrun.dev/moorrun/internal/standin/silence"
 )
 
-// TestSilentConnectionKeepsItsReadersDeadline: the server of the standard library ends a read that waits in the background by
-// a deadline in the past, and waits until it has ended.
+// Guards against a silent connection that ignores its read deadline: net/http.Server aborts a pending background read by
+// setting a deadline in the past, and then waits until the read has returned.
 func TestSilentConnectionKeepsItsReadersDeadline(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	quiet := silence.New(lis)
-	t.Cleanup(func() { _ = quiet.Close() })
+	listener := silence.New(lis)
+	t.Cleanup(func() { _ = listener.Close() })
 	dialed, err := net.Dial("tcp", lis.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = dialed.Close() })
-	accepted, err := quiet.Accept()
+	accepted, err := listener.Accept()
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = accepted.Close() })
-	qt.Assert(t, quiet.Silence(), qt.Equals, 1)
+	qt.Assert(t, listener.Silence(), qt.Equals, 1)
 	_, err = dialed.Write([]byte("swallowed"))
 	qt.Assert(t, err, qt.IsNil)
 
@@ -38,6 +38,6 @@
 	case err := <-read:
 		qt.Check(t, err, qt.ErrorIs, os.ErrDeadlineExceeded)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the reader waits on")
+		t.Fatal("Read did not return after its deadline had passed")
 	}
 }
