--- a/internal/standin/estate/store.go
+++ b/internal/standin/estate/store.go
@@ -1,5 +1,5 @@
-// Package estate is a stand-in for the users' platform: its metadata store, its workers and its operator, as
-// far as moorrun meets them, spoken over HTTP on loopback.
+// Package estate emulates the users' platform over HTTP on loopback: those parts of its metadata store, its workers and
+// its operator that moorrun interacts with.
 package estate
 
 import (
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Object is an object of the store.
+// Object is an object of the metadata store.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 	Status   json.RawMessage `json:"status"`
 }
 
-// Metadata is what the store keeps of every object.
+// Metadata is the name of an object and the revision of its last change.
 type Metadata struct {
 	Name     string `json:"name"`
 	Revision int64  `json:"revision"`
@@ -32,7 +32,7 @@
 	Deleted bool   `json:"deleted"`
 }
 
-// Store is the platform's metadata store.
+// Store emulates the platform's metadata store.
 type Store struct {
 	server *httptest.Server
 
@@ -45,7 +45,7 @@
 	calls    int
 }
 
-// NewStore starts a store.
+// NewStore starts an empty store.
 func NewStore() *Store {
 	s := &Store{objects: make(map[string]map[string]Object), changed: make(chan bool)}
 	mux := http.NewServeMux()
@@ -67,31 +67,31 @@
 	return s
 }
 
-// Address returns where the store listens.
+// Address returns the address of the store.
 func (s *Store) Address() string { return s.server.Listener.Addr().String() }
 
-// Close stops the store.
+// Close stops the store and closes its connections.
 func (s *Store) Close() { s.server.CloseClientConnections(); s.server.Close() }
 
-// SetDown makes the store refuse every call, or serve again.
+// SetDown makes the store respond 503 to every call, or serve again.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// Write stores an object as the operator or a worker does.
+// Write stores an object unconditionally, as the operator or a worker does.
 func (s *Store) Write(kind, name string, spec any) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // the stand-in's own types
+		panic(err) // spec is always a type that can be marshalled
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(kind, name, raw)
 }
 
-// Remove removes an object.
+// Remove deletes an object, if it exists, and notifies watchers.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 	delete(s.objects[kind], name)
 	s.revision++
-	s.tell(change{kind: kind, Object: o, Deleted: true})
+	s.publish(change{kind: kind, Object: o, Deleted: true})
 }
 
 func (s *Store) put(kind, name string, spec json.RawMessage) Object {
@@ -111,11 +111,11 @@
 		s.objects[kind] = make(map[string]Object)
 	}
 	s.objects[kind][name] = o
-	s.tell(change{kind: kind, Object: o})
+	s.publish(change{kind: kind, Object: o})
 	return o
 }
 
-func (s *Store) tell(c change) {
+func (s *Store) publish(c change) {
 	c.Object.Metadata.Revision = s.revision
 	s.history = append(s.history, c)
 	close(s.changed)
@@ -137,9 +137,9 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b Object) int { return strings.Compare(a.Metadata.Name, b.Metadata.Name) })
-	const page = 5 // small, so that paging is met
+	const page = 5 // small, so that tests exercise paging
 	more := len(items) > page
-	answer(w, http.StatusOK, map[string]any{"items": items[:min(page, len(items))], "more_pages": more, "store_revision": s.revision})
+	writeJSON(w, http.StatusOK, map[string]any{"items": items[:min(page, len(items))], "more_pages": more, "store_revision": s.revision})
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind, since string) {
@@ -157,13 +157,13 @@
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
 		if len(events) > 0 {
-			answer(w, http.StatusOK, map[string]any{"events": events, "store_revision": revision})
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "store_revision": revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			answer(w, http.StatusOK, map[string]any{"events": events, "store_revision": revision})
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "store_revision": revision})
 			return
 		case <-r.Context().Done():
 			return
@@ -179,7 +179,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, o)
+	writeJSON(w, http.StatusOK, o)
 }
 
 func (s *Store) create(w http.ResponseWriter, r *http.Request) {
@@ -191,11 +191,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kind := r.PathValue("kind")
-	if held, ok := s.objects[kind][o.Metadata.Name]; ok {
-		answer(w, http.StatusConflict, held)
+	if existing, ok := s.objects[kind][o.Metadata.Name]; ok {
+		writeJSON(w, http.StatusConflict, existing)
 		return
 	}
-	answer(w, http.StatusOK, s.put(kind, o.Metadata.Name, o.Spec))
+	writeJSON(w, http.StatusOK, s.put(kind, o.Metadata.Name, o.Spec))
 }
 
 func (s *Store) replace(w http.ResponseWriter, r *http.Request) {
@@ -207,27 +207,27 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kind, name := r.PathValue("kind"), r.PathValue("name")
-	held, ok := s.objects[kind][name]
+	existing, ok := s.objects[kind][name]
 	switch {
 	case !ok:
 		w.WriteHeader(http.StatusNotFound)
-	case o.Metadata.Revision != 0 && o.Metadata.Revision != held.Metadata.Revision:
-		answer(w, http.StatusConflict, held)
+	case o.Metadata.Revision != 0 && o.Metadata.Revision != existing.Metadata.Revision:
+		writeJSON(w, http.StatusConflict, existing)
 	default:
-		answer(w, http.StatusOK, s.put(kind, name, o.Spec))
+		writeJSON(w, http.StatusOK, s.put(kind, name, o.Spec))
 	}
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// Has reports whether the store holds an object of that kind and name.
+// Has reports whether an object with the given kind and name exists.
 func (s *Store) Has(kind, name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, held := s.objects[kind][name]
-	return held
+	_, exists := s.objects[kind][name]
+	return exists
 }
--- a/internal/standin/estate/worker.go
+++ b/internal/standin/estate/worker.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	joinTime = 80 * time.Millisecond
-	// EventInterval is the pause between two events of a stream.
+	joinDuration = 80 * time.Millisecond
+	// EventInterval is the time between two events of a stream.
 	EventInterval = 15 * time.Millisecond
-	// EventsPerStream is how many events a stream has.
+	// EventsPerStream is the number of events in a stream.
 	EventsPerStream = 12
 )
 
-// CrashRequestBody is the body of a request that ends each worker which begins to run it.
+// CrashRequestBody is the body of a request that crashes every worker that starts to run it.
 const CrashRequestBody = "deadly"
 
-// Run is one request that a worker has begun to work on.
+// Run is one request that a worker has started to run.
 type Run struct {
 	Attempt string
 	Worker  string
 	Tenant  string
-	After   string // ID of the event it goes on after
+	After   string // ID of the event after which a stream resumes; empty for a new one
 }
 
-// group is a worker's place in a replica group.
+// group is a worker's membership of a replica group.
 type group struct {
 	Name  string `json:"name"`
 	Epoch int64  `json:"epoch"`
@@ -39,29 +39,29 @@
 	State string `json:"state"`
 }
 
-// Worker is one worker, of model engines or a plain one.
+// Worker emulates one server of the platform, with or without a model engine.
 type Worker struct {
 	ID      string
 	Service string
 
-	estate *Platform
-	server *httptest.Server
-	born   int64 // Unix milliseconds
+	platform      *Platform
+	server        *httptest.Server
+	startedMillis int64 // Unix milliseconds
 
-	mu       sync.Mutex
-	group    *group
-	members  []string
-	model    string
-	staged   []string
-	seen     int64
-	stalled  bool
-	dead     bool
-	draining bool
-	leaving  bool // says so in its answers, whatever its entry tells
-	shedding bool
-	pause    string // seconds that it names in Retry-After while it sheds; empty for none
-	lose     int    // answers to lose
-	limit    string // requests a second that it names in its answers; empty for none
+	mu               sync.Mutex
+	group            *group
+	members          []string
+	model            string
+	staged           []string
+	maxEpoch         int64
+	stalled          bool
+	dead             bool
+	draining         bool
+	announcesLeaving bool // announces in its responses, not in its entry, that it is leaving
+	refusing         bool
+	retryAfter       string // Retry-After, in seconds, of refusals; empty for none
+	dropResponses    int    // number of next requests to run without a response
+	announcedLimit   string // Server-Limit header of responses, in requests per second; empty for none
 }
 
 type order struct {
@@ -75,7 +75,7 @@
 func (w *Worker) start() {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/report", func(rw http.ResponseWriter, _ *http.Request) {
-		answer(rw, http.StatusOK, map[string]any{"born": w.born})
+		writeJSON(rw, http.StatusOK, map[string]any{"born": w.startedMillis})
 	})
 	mux.HandleFunc("POST /v1/order", w.order)
 	mux.HandleFunc("/", w.serve)
@@ -86,14 +86,14 @@
 		}
 		mux.ServeHTTP(rw, r)
 	}))
-	w.record()
+	w.writeEntry()
 }
 
-// record writes the worker's entry; the lock is not held.
-func (w *Worker) record() {
+// writeEntry writes the worker's entry to the store; the caller must not hold mu.
+func (w *Worker) writeEntry() {
 	w.mu.Lock()
 	entry := map[string]any{
-		"service": w.Service, "address": w.server.Listener.Addr().String(), "zone": "z1", "slots": 4, "state": "ready", "domain": "d1", "staged": w.staged, "born": w.born,
+		"service": w.Service, "address": w.server.Listener.Addr().String(), "zone": "z1", "slots": 4, "state": "ready", "domain": "d1", "staged": w.staged, "born": w.startedMillis,
 	}
 	if w.draining {
 		entry["state"] = "draining"
@@ -107,7 +107,7 @@
 	dead := w.dead
 	w.mu.Unlock()
 	if !dead {
-		w.estate.Store.Write("servers", w.ID, entry)
+		w.platform.Store.Write("servers", w.ID, entry)
 	}
 }
 
@@ -117,31 +117,31 @@
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	rw.WriteHeader(w.obey(o))
-	w.record()
+	rw.WriteHeader(w.applyOrder(o))
+	w.writeEntry()
 }
 
-// obey carries an order out and returns the status of its answer.
-func (w *Worker) obey(o order) int {
+// applyOrder carries out an order and returns the status of the response.
+func (w *Worker) applyOrder(o order) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	mine := w.group != nil && w.group.Name == o.Group && w.group.Epoch == o.Epoch
+	inGroup := w.group != nil && w.group.Name == o.Group && w.group.Epoch == o.Epoch
 	switch o.Op {
 	case "join":
-		if o.Epoch < w.seen {
+		if o.Epoch < w.maxEpoch {
 			return http.StatusPreconditionFailed
 		}
-		w.seen, w.model, w.members = o.Epoch, o.Model, o.Members
+		w.maxEpoch, w.model, w.members = o.Epoch, o.Model, o.Members
 		w.group = &group{Name: o.Group, Epoch: o.Epoch, Rank: slices.Index(o.Members, w.ID), State: "joining"}
-		time.AfterFunc(joinTime, func() { w.become(o, "ready") })
+		time.AfterFunc(joinDuration, func() { w.setState(o, "ready") })
 	case "open":
-		if !mine || w.group.State != "ready" {
+		if !inGroup || w.group.State != "ready" {
 			return http.StatusConflict
 		}
-		w.estate.opening(o.Group, w.members)
+		w.platform.checkOpening(o.Group, w.members)
 		w.group.State = "open"
 	case "leave":
-		if mine {
+		if inGroup {
 			w.group = nil
 		}
 	case "stage":
@@ -150,61 +150,61 @@
 	return http.StatusAccepted
 }
 
-func (w *Worker) become(o order, state string) {
+func (w *Worker) setState(o order, state string) {
 	w.mu.Lock()
-	mine := w.group != nil && w.group.Name == o.Group && w.group.Epoch == o.Epoch
-	if mine {
+	inGroup := w.group != nil && w.group.Name == o.Group && w.group.Epoch == o.Epoch
+	if inGroup {
 		w.group.State = state
-		w.estate.readied(o.Group, w.ID)
+		w.platform.recordReady(o.Group, w.ID)
 	}
 	w.mu.Unlock()
-	if mine {
-		w.record()
+	if inGroup {
+		w.writeEntry()
 	}
 }
 
-// serve answers a request.
+// serve handles a request of a client.
 func (w *Worker) serve(rw http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // a server sees a caller leave only once the body is read
+	body, _ := io.ReadAll(r.Body) // net/http detects that the client has disconnected only once the body is read
 	attempt := r.Header.Get("X-Moorrun-Attempt-Id")
 	rw.Header().Set("X-Moorrun-Attempt-Id", attempt)
-	w.estate.arrived(w.ID)
+	w.platform.recordArrival(w.ID)
 	w.mu.Lock()
 	engine := w.group != nil || w.model != ""
 	open := w.group != nil && w.group.State == "open"
-	shedding, pause := w.shedding, w.pause
-	if w.leaving || w.draining {
+	refusing, retryAfter := w.refusing, w.retryAfter
+	if w.announcesLeaving || w.draining {
 		rw.Header().Set("Server-Leaving", "1")
 	}
-	if w.limit != "" {
-		rw.Header().Set("Server-Limit", w.limit)
+	if w.announcedLimit != "" {
+		rw.Header().Set("Server-Limit", w.announcedLimit)
 	}
-	lost := w.lose > 0
-	if lost {
-		w.lose--
+	dropResponse := w.dropResponses > 0
+	if dropResponse {
+		w.dropResponses--
 	}
 	w.mu.Unlock()
 	switch {
 	case engine && !open:
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
-	case shedding:
-		if pause != "" {
-			rw.Header().Set("Retry-After", pause)
+	case refusing:
+		if retryAfter != "" {
+			rw.Header().Set("Retry-After", retryAfter)
 		}
 		rw.Header().Set("X-Moorrun-Not-Executed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	after := r.Header.Get("Last-Event-Id")
-	w.estate.ran(Run{attempt, w.ID, r.Header.Get("X-Moorrun-Tenant"), after})
+	w.platform.recordRun(Run{attempt, w.ID, r.Header.Get("X-Moorrun-Tenant"), after})
 	if string(body) == CrashRequestBody {
-		w.estate.ended(w)
+		w.platform.crash(w)
 		<-r.Context().Done()
 		return
 	}
-	if lost {
-		<-r.Context().Done() // it has run, and its answer never comes
+	if dropResponse {
+		<-r.Context().Done() // the request has run but is never answered
 		return
 	}
 	rw.Header().Set("X-Moorrun-Server-Seal", "seal-"+attempt)
@@ -224,7 +224,7 @@
 			return
 		case <-time.After(EventInterval):
 		}
-		for w.still() {
+		for w.isStalled() {
 			select {
 			case <-r.Context().Done():
 				return
@@ -236,47 +236,48 @@
 	}
 }
 
-func (w *Worker) still() bool {
+func (w *Worker) isStalled() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stalled
 }
 
-// Kill ends the worker at once; its entry goes a little later.
-func (w *Worker) Kill(entryGoes time.Duration) {
+// Kill stops the worker at once; its entry is removed from the store after the given delay.
+func (w *Worker) Kill(removalDelay time.Duration) {
 	w.mu.Lock()
 	w.dead = true
 	w.mu.Unlock()
-	w.server.Listener.Close() //nolint:errcheck // the worker is gone
+	w.server.Listener.Close() //nolint:errcheck // the worker is dead
 	w.server.CloseClientConnections()
-	time.AfterFunc(entryGoes, func() { w.estate.Store.Remove("servers", w.ID) })
+	time.AfterFunc(removalDelay, func() { w.platform.Store.Remove("servers", w.ID) })
 }
 
-// StallStreams makes streams of the worker stand still, or go on.
+// StallStreams makes the streams of the worker stop sending events, or continue.
 func (w *Worker) StallStreams(on bool) { w.set(func() { w.stalled = on }) }
 
-// Refuse makes the worker refuse what it is sent, as not run.
-func (w *Worker) Refuse(on bool) { w.set(func() { w.shedding, w.pause = on, "" }) }
+// Refuse makes the worker refuse all requests as not executed, without a Retry-After header, or accept them again.
+func (w *Worker) Refuse(on bool) { w.set(func() { w.refusing, w.retryAfter = on, "" }) }
 
-// RefuseWithRetryAfter makes the worker refuse what it is sent and ask whoever sent it for a pause, in seconds.
+// RefuseWithRetryAfter makes the worker refuse all requests as not executed, with the given Retry-After.
 func (w *Worker) RefuseWithRetryAfter(seconds string) {
-	w.set(func() { w.shedding, w.pause = true, seconds })
+	w.set(func() { w.refusing, w.retryAfter = true, seconds })
 }
 
-// AnnounceLimit makes the worker name a limit in its answers, in requests a second; empty for none. It still takes all that comes.
-func (w *Worker) AnnounceLimit(perSecond string) { w.set(func() { w.limit = perSecond }) }
+// AnnounceLimit sets the rate limit that the worker announces in its responses, in requests per second; empty for none.
+// The worker does not enforce it.
+func (w *Worker) AnnounceLimit(perSecond string) { w.set(func() { w.announcedLimit = perSecond }) }
 
-// DropNextResponses makes the worker run the next n requests without ever answering.
-func (w *Worker) DropNextResponses(n int) { w.set(func() { w.lose = n }) }
+// DropNextResponses makes the worker run the next n requests without responding.
+func (w *Worker) DropNextResponses(n int) { w.set(func() { w.dropResponses = n }) }
 
-// Drain announces that the worker is about to leave.
+// Drain announces in the entry and in responses that the worker is about to leave.
 func (w *Worker) Drain() {
 	w.set(func() { w.draining = true })
-	w.record()
+	w.writeEntry()
 }
 
-// AnnounceLeaving makes the worker tell in its answers that it is about to leave, but not in its entry.
-func (w *Worker) AnnounceLeaving() { w.set(func() { w.leaving = true }) }
+// AnnounceLeaving announces in responses, but not in the entry, that the worker is about to leave.
+func (w *Worker) AnnounceLeaving() { w.set(func() { w.announcesLeaving = true }) }
 
 func (w *Worker) set(change func()) {
 	w.mu.Lock()
@@ -284,14 +285,14 @@
 	change()
 }
 
-// Alive reports whether the worker has not ended.
+// Alive reports whether the worker has neither been killed nor crashed.
 func (w *Worker) Alive() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.dead
 }
 
-// OpenHead reports whether the worker is the head of an open group.
+// OpenHead reports whether the worker is alive and the head of an open group.
 func (w *Worker) OpenHead() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
