--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab runs real moorrund processes over stand-ins on loopback, for the demo, the integration tests
-// and the measurements.
+// Package lab runs real moorrund processes against an emulated platform on loopback, for the demo, the integration
+// tests and the measurements.
 package lab
 
 import (
@@ -18,22 +18,22 @@
 	"moorrun.dev/moorrun/internal/standin"
 )
 
-// Options shape a Lab.
+// Options configures a Lab.
 type Options struct {
 	Dir             string // working directory
-	Config          string // directory of configuration files; VMs and endpoints in them get stand-ins
+	Config          string // directory of configuration files; their VMs and endpoints are emulated
 	BinDir          string // directory of the built programs
 	TokenInterval   time.Duration
 	Prefill         time.Duration
 	LoadReportLag   time.Duration
-	PrefixCacheSize int           // of each engine's cache
-	WeightLoadTime  time.Duration // of weights
+	PrefixCacheSize int           // capacity of each engine's prefix cache; 0 disables it
+	WeightLoadTime  time.Duration // duration of a weight load without queueing
 	LoadsPerSecond  float64
 	VMListLag       time.Duration
-	FaultProxies    bool // put a faulty link before each node's peers and store, and before each engine
+	FaultProxies    bool // put a fault proxy before each node's peer address, object API and engine
 }
 
-// Lab is a running set of stand-ins and moorrund processes.
+// Lab is a running set of emulated platform services and moorrund processes.
 type Lab struct {
 	Options
 	Objects        *standin.ObjectAPI
@@ -43,28 +43,28 @@
 	Engines        map[string]*standin.Engine        // by VM
 	PlainEndpoints map[string]*standin.PlainEndpoint // by endpoint
 	EngineProxies  map[string]*standin.FaultProxy    // by engine VM
-	ConfigDir      string                            // configuration with the stand-ins' addresses
+	ConfigDir      string                            // directory of the configuration with the emulated addresses
 
 	mu    sync.Mutex
 	nodes map[string]*Node // by VM
 }
 
-// OperatorToken is the pool operator's credential in the examples.
+// OperatorToken is the credential of the pool operator in the example configurations.
 const OperatorToken = "platform-token"
 
-// Build builds moorrun and moorrund into dir, with those flags of go build.
+// Build builds moorrun and moorrund into dir with the given go build flags.
 func Build(root, dir string, flags ...string) error {
 	args := append([]string{"build", "-o", dir + string(filepath.Separator)}, flags...)
-	k := exec.Command("go", append(args, "./cmd/...")...) //nolint:gosec // our own programs
-	k.Dir = root
-	out, err := k.CombinedOutput()
+	cmd := exec.Command("go", append(args, "./cmd/...")...) //nolint:gosec // our own programs
+	cmd.Dir = root
+	out, err := cmd.CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("build: %w\n%s", err, out)
+		return fmt.Errorf("building moorrun and moorrund failed: %w\n%s", err, out)
 	}
 	return nil
 }
 
-// New starts the stand-ins for a configuration.
+// New starts the emulated platform for the configuration in o.Config, but no nodes.
 func New(o Options) (*Lab, error) {
 	l := &Lab{Options: o, EngineProxies: make(map[string]*standin.FaultProxy), Registry: standin.NewEngineRegistry(), Engines: make(map[string]*standin.Engine),
 		PlainEndpoints: make(map[string]*standin.PlainEndpoint), nodes: make(map[string]*Node), ConfigDir: filepath.Join(o.Dir, "config")}
@@ -78,11 +78,12 @@
 	return l, l.writeConfig()
 }
 
-// writeConfig starts a stand-in for each VM and endpoint and writes the files with their addresses.
+// writeConfig starts an emulator for each VM and endpoint of the configuration and writes it, with their addresses, to
+// ConfigDir.
 func (l *Lab) writeConfig() error {
 	names, err := filepath.Glob(filepath.Join(l.Config, "*.json"))
 	if err != nil || len(names) == 0 {
-		return fmt.Errorf("no configuration in %s: %w", l.Config, err)
+		return fmt.Errorf("no configuration files found in %s: %w", l.Config, err)
 	}
 	if err := os.MkdirAll(l.ConfigDir, 0o700); err != nil {
 		return err
@@ -97,7 +98,7 @@
 		if problems != nil {
 			return problems
 		}
-		if err := l.fill(part, &listed); err != nil {
+		if err := l.startStandIns(part, &listed); err != nil {
 			return err
 		}
 		if err := l.WritePart(part); err != nil {
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// WritePart writes a part to Files, under the part's name.
+// WritePart writes a part of the configuration to ConfigDir, under its original file name.
 func (l *Lab) WritePart(part config.Part) error {
 	var pretty bytes.Buffer
 	if err := json.Indent(&pretty, part.Content(), "", "  "); err != nil {
@@ -118,7 +119,7 @@
 	return os.WriteFile(filepath.Join(l.ConfigDir, file), pretty.Bytes(), 0o600)
 }
 
-func (l *Lab) fill(part config.Part, listed *[]infra.VM) error {
+func (l *Lab) startStandIns(part config.Part, listed *[]infra.VM) error {
 	if part.DataCentre != nil {
 		for _, d := range part.DataCentre.Domains {
 			for i := range d.VMs {
@@ -148,19 +149,19 @@
 	return nil
 }
 
-// engineAddress returns where nodes reach an engine: behind a link if the lab has links.
+// engineAddress returns the address at which nodes reach an engine, that of its fault proxy if FaultProxies is set.
 func (l *Lab) engineAddress(e *standin.Engine) (string, error) {
 	if !l.FaultProxies {
 		return e.Address, nil
 	}
-	link, err := standin.StartFaultProxy()
+	proxy, err := standin.StartFaultProxy()
 	if err != nil {
 		return "", err
 	}
-	link.SetTarget(e.Address)
-	l.Registry.Alias(link.Address, e)
-	l.EngineProxies[e.VM] = link
-	return link.Address, nil
+	proxy.SetTarget(e.Address)
+	l.Registry.Alias(proxy.Address, e)
+	l.EngineProxies[e.VM] = proxy
+	return proxy.Address, nil
 }
 
 func (l *Lab) startEngine(vm config.VM) (*standin.Engine, error) {
@@ -174,7 +175,7 @@
 	return e, err
 }
 
-// Close ends every process and stand-in.
+// Close kills all processes and stops the emulated platform.
 func (l *Lab) Close() {
 	l.mu.Lock()
 	nodes := l.nodes
@@ -190,8 +191,8 @@
 	for _, p := range l.PlainEndpoints {
 		p.Kill()
 	}
-	for _, link := range l.EngineProxies {
-		link.Close()
+	for _, proxy := range l.EngineProxies {
+		proxy.Close()
 	}
 	l.Objects.Kill()
 	l.VMs.Kill()
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -19,44 +19,44 @@
 // Node is one moorrund process.
 type Node struct {
 	Settings   settings.Settings
-	LogFile    string              // file of its log
-	PeerProxy  *standin.FaultProxy // before its peer address, if the lab is linked
-	StoreProxy *standin.FaultProxy // between it and the object API, if the lab is linked
+	LogFile    string
+	PeerProxy  *standin.FaultProxy // in front of the peer address; nil without FaultProxies
+	StoreProxy *standin.FaultProxy // between the node and the object API; nil without FaultProxies
 	process    *exec.Cmd
 	done       chan struct{}
 	exit       int
 }
 
-// kernelPort leaves the port to the kernel.
-const kernelPort = "127.0.0.1:0"
+// kernelChosenPort is a loopback address whose port the kernel chooses.
+const kernelChosenPort = "127.0.0.1:0"
 
-// startLimit bounds the wait for a process's addresses.
-const startLimit = 20 * time.Second
+// startTimeout bounds the wait until a process has logged its addresses.
+const startTimeout = 20 * time.Second
 
-// SettingsOption changes a node's settings before it starts.
+// SettingsOption changes the settings of a node before it starts.
 type SettingsOption func(*settings.Settings)
 
-// StartNode starts moorrund for a VM, with settings quick enough for tests.
-func (l *Lab) StartNode(vm, dataCentre string, tunes ...SettingsOption) (*Node, error) {
+// StartNode starts moorrund for a VM. Its intervals and timeouts are short enough for tests.
+func (l *Lab) StartNode(vm, dataCentre string, options ...SettingsOption) (*Node, error) {
 	s := settings.Settings{
 		VM: vm, DataCentre: dataCentre, BootstrapOperatorSHA256: config.HashToken(OperatorToken),
 		Platform:    settings.Platform{ObjectAPI: l.Objects.Address, VMList: l.VMs.Address, WeightStore: l.Weights.Address},
 		HeartbeatMS: 100, PollMS: 100, EvidenceMS: 1500, LeaseTTLMS: 2000, AddressLifetimeMS: 1000, ReloadMS: 1000, StoreReads: 50, StoreWrites: 20,
 	}
-	s.CallerAddress, s.AdminAddress, s.PeerAddress = kernelPort, kernelPort, kernelPort
+	s.CallerAddress, s.AdminAddress, s.PeerAddress = kernelChosenPort, kernelChosenPort, kernelChosenPort
 	l.mu.Lock()
 	for _, other := range l.nodes {
 		s.Peers = append(s.Peers, other.Settings.PeerAddress)
 	}
 	l.mu.Unlock()
-	for _, tune := range tunes {
-		tune(&s)
+	for _, option := range options {
+		option(&s)
 	}
 	return l.start(s)
 }
 
-// link puts the node behind links of its own.
-func (l *Lab) link(n *Node) error {
+// addProxies puts fault proxies before the peer address of the node and between the node and the object API.
+func (l *Lab) addProxies(n *Node) error {
 	var err, err2 error
 	n.PeerProxy, err = standin.StartFaultProxy()
 	n.StoreProxy, err2 = standin.StartFaultProxy()
@@ -65,14 +65,14 @@
 	}
 	n.StoreProxy.SetTarget(l.Objects.Address)
 	n.Settings.Platform.ObjectAPI = n.StoreProxy.Address
-	n.Settings.PeerAddress, n.Settings.Listen.Peer = n.PeerProxy.Address, kernelPort
+	n.Settings.PeerAddress, n.Settings.Listen.Peer = n.PeerProxy.Address, kernelChosenPort
 	return nil
 }
 
 func (l *Lab) start(s settings.Settings) (*Node, error) {
 	n := &Node{Settings: s, LogFile: filepath.Join(l.Dir, s.VM+".log"), done: make(chan struct{})}
 	if l.FaultProxies {
-		if err := l.link(n); err != nil {
+		if err := l.addProxies(n); err != nil {
 			return nil, err
 		}
 	}
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	go func() {
-		defer out.Close() //nolint:errcheck // a log
+		defer out.Close() //nolint:errcheck // only a log file
 		_ = n.process.Wait()
 		n.exit = n.process.ProcessState.ExitCode()
 		close(n.done)
@@ -109,9 +109,9 @@
 	return n, n.readAddresses(started.Size())
 }
 
-// readAddresses takes the addresses that the kernel chose from the log, which is read from that offset.
+// readAddresses reads the addresses chosen by the kernel from the first log line after offset.
 func (n *Node) readAddresses(offset int64) error {
-	return WaitUntil(startLimit, "the addresses of "+n.Settings.VM, func() bool {
+	return WaitUntil(startTimeout, "the listen addresses of "+n.Settings.VM, func() bool {
 		content, err := os.ReadFile(n.LogFile)
 		if err != nil || int64(len(content)) <= offset {
 			return false
@@ -120,8 +120,8 @@
 			Msg, Caller, Admin, Peer string
 			Listen                   string `json:"peer_listen"`
 		}
-		first, _, whole := strings.Cut(string(content[offset:]), "\n")
-		if !whole || json.Unmarshal([]byte(first), &line) != nil || line.Msg != "started" {
+		first, _, complete := strings.Cut(string(content[offset:]), "\n")
+		if !complete || json.Unmarshal([]byte(first), &line) != nil || line.Msg != "started" {
 			return false
 		}
 		n.Settings.CallerAddress, n.Settings.AdminAddress, n.Settings.PeerAddress = line.Caller, line.Admin, line.Peer
@@ -132,15 +132,15 @@
 	})
 }
 
-// Restart starts the VM's process again, as a replaced VM that keeps nothing, at new addresses.
+// Restart starts a new process for the VM of n at new addresses, as if the VM had been replaced and its state lost.
 func (l *Lab) Restart(n *Node) (*Node, error) {
 	s := n.Settings
-	s.CallerAddress, s.AdminAddress, s.PeerAddress = kernelPort, kernelPort, kernelPort
+	s.CallerAddress, s.AdminAddress, s.PeerAddress = kernelChosenPort, kernelChosenPort, kernelChosenPort
 	s.Listen = settings.Listen{}
 	return l.start(s)
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits for its exit.
 func (n *Node) Kill() {
 	_ = n.process.Process.Signal(syscall.SIGCONT)
 	_ = n.process.Process.Kill()
@@ -151,7 +151,7 @@
 	}
 }
 
-// Pause freezes the process, or lets it go on.
+// Pause suspends the process with SIGSTOP, or resumes it.
 func (n *Node) Pause(on bool) {
 	signal := syscall.SIGCONT
 	if on {
@@ -160,23 +160,23 @@
 	_ = n.process.Process.Signal(signal)
 }
 
-// Terminate asks the process to stop.
+// Terminate sends SIGTERM to the process, which stops it gracefully.
 func (n *Node) Terminate() { _ = n.process.Process.Signal(syscall.SIGTERM) }
 
-// PID returns the process id.
+// PID returns the process ID.
 func (n *Node) PID() int { return n.process.Process.Pid }
 
-// Wait waits for the process to end and returns its exit code.
+// Wait waits for the process to exit and returns its exit code.
 func (n *Node) Wait(limit time.Duration) (int, error) {
 	select {
 	case <-n.done:
 		return n.exit, nil
 	case <-time.After(limit):
-		return 0, fmt.Errorf("%s has not ended after %s", n.Settings.VM, limit)
+		return 0, fmt.Errorf("process of %s did not exit within %s", n.Settings.VM, limit)
 	}
 }
 
-// Nodes returns the running nodes in no order.
+// Nodes returns the running nodes in unspecified order.
 func (l *Lab) Nodes() []*Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -14,16 +14,16 @@
 	"moorrun.dev/moorrun/internal/adminapi"
 )
 
-// Output is how a run of the command line ended.
+// Output is the result of a run of moorrun. Code is -1 if moorrun could not be run.
 type Output struct {
 	Stdout, Stderr string
 	Code           int
 }
 
-// CLI runs moorrun as the pool's operator against the running nodes.
+// CLI runs moorrun with the credential of the pool operator against the running nodes.
 func (l *Lab) CLI(args ...string) Output { return l.CLIAs(OperatorToken, args...) }
 
-// CLIAs runs moorrun with a credential.
+// CLIAs runs moorrun with the given credential against the running nodes.
 func (l *Lab) CLIAs(token string, args ...string) Output {
 	var addresses []string
 	for _, n := range l.Nodes() {
@@ -32,17 +32,17 @@
 	return l.CLIAt(token, addresses, args...)
 }
 
-// CLIAt runs moorrun with a credential against certain administration addresses.
+// CLIAt runs moorrun with the given credential against the given administration addresses.
 func (l *Lab) CLIAt(token string, addresses []string, args ...string) Output {
 	file, err := l.tokenFile(token)
 	if err != nil {
 		return Output{Stderr: err.Error(), Code: -1}
 	}
-	k := exec.Command(filepath.Join(l.BinDir, "moorrun"), args...) //nolint:gosec // our own program
-	k.Env = append(os.Environ(), "MOORRUN_NODES="+strings.Join(addresses, ","), "MOORRUN_TOKEN_FILE="+file)
+	cmd := exec.Command(filepath.Join(l.BinDir, "moorrun"), args...) //nolint:gosec // our own program
+	cmd.Env = append(os.Environ(), "MOORRUN_NODES="+strings.Join(addresses, ","), "MOORRUN_TOKEN_FILE="+file)
 	var stdout, stderr bytes.Buffer
-	k.Stdout, k.Stderr = &stdout, &stderr
-	err = k.Run()
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
+	err = cmd.Run()
 	out := Output{Stdout: stdout.String(), Stderr: stderr.String()}
 	var exited *exec.ExitError
 	if errors.As(err, &exited) {
@@ -53,21 +53,22 @@
 	return out
 }
 
-// tokenFile writes a credential's file and returns its path. Another program may be reading it, so it is renamed into its place.
+// tokenFile writes a credential to a file and returns its path. It renames a temporary file, because another program may
+// be reading the file.
 func (l *Lab) tokenFile(token string) (string, error) {
 	file := filepath.Join(l.Dir, token+".token")
-	whole, err := os.CreateTemp(l.Dir, "token")
+	temporary, err := os.CreateTemp(l.Dir, "token")
 	if err != nil {
 		return "", err
 	}
-	_, err = whole.WriteString(token + "\n")
-	if err := errors.Join(err, whole.Close()); err != nil {
+	_, err = temporary.WriteString(token + "\n")
+	if err := errors.Join(err, temporary.Close()); err != nil {
 		return "", err
 	}
-	return file, os.Rename(whole.Name(), file)
+	return file, os.Rename(temporary.Name(), file)
 }
 
-// Status returns what the nodes say, asking one after the other.
+// Status returns the status reported by the first node that answers.
 func (l *Lab) Status() (adminapi.Status, error) {
 	var s adminapi.Status
 	out := l.CLI("status", "--output", "json")
@@ -77,17 +78,17 @@
 	return s, json.Unmarshal([]byte(out.Stdout), &s)
 }
 
-// WaitUntil waits until ok returns true.
+// WaitUntil polls ok until it returns true or the limit has passed.
 func WaitUntil(limit time.Duration, what string, ok func() bool) error {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if ok() {
 			return nil
 		}
 	}
-	return fmt.Errorf("not within %s: %s", limit, what)
+	return fmt.Errorf("timed out after %s waiting for %s", limit, what)
 }
 
-// WaitForUsableGroups waits until that many replica groups may be used.
+// WaitForUsableGroups waits until at least n replica groups are usable.
 func (l *Lab) WaitForUsableGroups(n int, limit time.Duration) error {
 	return WaitUntil(limit, fmt.Sprintf("%d usable replica groups", n), func() bool {
 		s, err := l.Status()
--- a/internal/lab/operator_test.go
+++ b/internal/lab/operator_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a program that starts beside another reading an empty token file.
+// Guards against a starting program that reads an empty token file while another caller rewrites it.
 func TestTokenFileIsWholeAtAnyTime(t *testing.T) {
 	l := &Lab{Options: Options{Dir: t.TempDir()}}
 	file, err := l.tokenFile(OperatorToken)
--- a/internal/lab/reply.go
+++ b/internal/lab/reply.go
@@ -12,22 +12,22 @@
 	"moorrun.dev/moorrun/internal/verdict"
 )
 
-// Reply is how one request ended for its caller.
+// Reply is the result of one request as its caller sees it.
 type Reply struct {
 	Status     int
 	Verdict    string
 	Resume     string
 	Text       string
 	Events     int
-	Complete   bool // the end marker or the whole body came
+	Complete   bool // the end marker of the stream or the complete body was received
 	Err        error
 	FirstToken time.Duration
 	Duration   time.Duration
 	RetryAfter string
 }
 
-// ErrCallerLeft is returned by OnEvent to leave a stream.
-var ErrCallerLeft = errors.New("the caller leaves")
+// ErrCallerLeft is what OnEvent returns to close a stream, and the error of every stream that OnEvent has closed.
+var ErrCallerLeft = errors.New("caller closed the stream")
 
 func (out *Reply) readEvents(body io.Reader, start time.Time, onEvent func(int) error) {
 	lines := bufio.NewScanner(body)
@@ -59,7 +59,7 @@
 	out.Complete = out.Complete && out.Err == nil
 }
 
-// ExpectedText is the whole answer to a prompt.
+// ExpectedText returns the complete text that engines generate for a prompt.
 func ExpectedText(prompt string, tokens int) string {
 	text := ""
 	for i := range tokens {
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// clockTicks is the kernel's unit of processor time in /proc, a second's hundredth on every Linux we know.
-const clockTicks = 100
+// clockTicksPerSecond is the resolution of processor times in /proc (USER_HZ), 100 on every known Linux system.
+const clockTicksPerSecond = 100
 
-// Usage is what a process has used so far.
+// Usage is the resource usage of a process since its start, or between two readings.
 type Usage struct {
 	CPUSeconds float64
-	IOBytes    float64 // read and written, sockets included
-	MemoryMB   float64 // resident now
+	IOBytes    float64 // read and written, including sockets
+	MemoryMB   float64 // current resident set
 }
 
-// UsageOf reads a process's usage.
+// UsageOf reads the usage of a process from /proc; what cannot be read is 0.
 func UsageOf(pid int) Usage {
 	return Usage{CPUSeconds: cpuSeconds(pid), IOBytes: ioBytes(pid), MemoryMB: memoryMB(pid)}
 }
 
-// Since returns the usage between two readings, with the memory of the later.
+// Since returns the usage since the earlier reading before, with the memory of u.
 func (u Usage) Since(before Usage) Usage {
 	return Usage{u.CPUSeconds - before.CPUSeconds, u.IOBytes - before.IOBytes, u.MemoryMB}
 }
@@ -36,10 +36,10 @@
 	fields := strings.Fields(rest)
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / clockTicks
+	return (user + system) / clockTicksPerSecond
 }
 
-// field returns the number behind a label in a file of /proc.
+// field returns the number after a label in a file of /proc, or 0 if there is none.
 func field(file, label string) float64 {
 	content, _ := os.ReadFile(file)
 	for _, line := range strings.Split(string(content), "\n") {
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,5 +1,5 @@
-// Package rapidseed fixes the seed of rapid's checks, so that a test gives the same verdict every run. Tests
-// import it for its effect; -rapid.seed on the command line still has the last word.
+// Package rapidseed sets a fixed seed for the property checks of rapid, so that a test has the same result in every run.
+// Tests import it for its side effect; -rapid.seed on the command line overrides the seed.
 package rapidseed
 
 import (
