--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,7 +17,7 @@
 	VM              string
 	ChecksOrders    bool
 	TokenInterval   time.Duration
-	Prefill         time.Duration // time before the first token
+	Prefill         time.Duration // before the first token
 	LoadReportLag   time.Duration // age up to which a reported load is repeated
 	PrefixCacheSize int           // number of prompt prefixes in the cache; 0 disables it
 	Weights         *WeightStore
--- a/internal/standin/estate/platform.go
+++ b/internal/standin/estate/platform.go
@@ -99,7 +99,7 @@
 }
 
 const (
-	// entryRemovalDelay is the time from the crash of a worker to the removal of its entry from the store.
+	// entryRemovalDelay is the time from the unannounced crash of a worker to the removal of its entry from the store.
 	entryRemovalDelay = 1500 * time.Millisecond
 	// restartDelay is the time from the removal of the entry to the restart of the worker.
 	restartDelay = 300 * time.Millisecond
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -16,7 +16,7 @@
 	prompt    string
 	tokens    int
 	mu        sync.Mutex
-	produced  int // number of events produced so far
+	produced  int // events
 	ended     bool
 	aborted   bool
 	cancelled bool
