--- a/test/bench/load.go
+++ b/test/bench/load.go
@@ -15,7 +15,7 @@
 }
 
 // loadAt sends requests with a deadline of one second at a rate for eight seconds.
-func (h *harness) loadAt(perSecond float64, tunes ...lab.Tune) (loadCounts, error) {
+func (h *harness) loadAt(perSecond float64, tunes ...lab.SettingsOption) (loadCounts, error) {
 	l, nodes, err := h.start(h.smallOptions(), 2, 4, tunes...)
 	if err != nil {
 		return loadCounts{}, err
@@ -27,11 +27,11 @@
 	openLoop(perSecond, length, func(n int) {
 		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: "o", Tokens: 20, DeadlineMS: 1000})
 		switch {
-		case reply.Whole && reply.Took < 1050*time.Millisecond:
+		case reply.Complete && reply.Duration < 1050*time.Millisecond:
 			inTime.Add(1)
 		case reply.Verdict == "not-run" && reply.RetryAfter != "":
 			notRun.Add(1)
-			if reply.Took > 500*time.Millisecond {
+			if reply.Duration > 500*time.Millisecond {
 				lateRefusals.Add(1)
 			}
 		default:
--- a/test/bench/once.go
+++ b/test/bench/once.go
@@ -59,8 +59,8 @@
 			counts.repeated++
 		}
 	}
-	for _, p := range l.Plains {
-		counts.cut += p.Cuts.Load()
+	for _, p := range l.PlainEndpoints {
+		counts.cut += p.Aborted.Load()
 	}
 	return counts, nil
 }
@@ -90,8 +90,8 @@
 		i := round % len(f.nodes)
 		switch round % 4 {
 		case 0:
-			for _, p := range f.lab.Plains {
-				p.CutAfter.Store(2)
+			for _, p := range f.lab.PlainEndpoints {
+				p.AbortNext.Store(2)
 			}
 		case 1:
 			f.nodes[i].Pause(true)
@@ -113,7 +113,7 @@
 // runs returns how many times a call has run, over all endpoints.
 func (f *faultInjector) runs(mark string) int {
 	runs := 0
-	for _, p := range f.lab.Plains {
+	for _, p := range f.lab.PlainEndpoints {
 		runs += p.Runs(mark)
 	}
 	return runs
@@ -134,7 +134,7 @@
 	const maxSends = 6
 	var last lab.Reply
 	for send := range maxSends {
-		last = gifts.Plain(f.address(n+send), http.MethodPost, receiptsPath, mark, key, "1")
+		last = gifts.CallService(f.address(n+send), http.MethodPost, receiptsPath, mark, key, "1")
 		if last.Status == http.StatusOK || withKey && last.Status == http.StatusConflict {
 			break // answered, or the outcome cannot be determined
 		}
--- a/test/bench/platform.go
+++ b/test/bench/platform.go
@@ -84,7 +84,7 @@
 
 // applySmallChange changes the number of places in one file of the configuration and applies the file.
 func applySmallChange(l *lab.Lab, i int) error {
-	content, err := os.ReadFile(filepath.Join(l.Files, "gifts.json"))
+	content, err := os.ReadFile(filepath.Join(l.ConfigDir, "gifts.json"))
 	if err != nil {
 		return err
 	}
--- a/test/bench/prefix.go
+++ b/test/bench/prefix.go
@@ -72,7 +72,7 @@
 // first token, for prompts whose prefix is repeated the given number of times.
 func (h *harness) prefixHitRate(repeats int) (hitRate, skew, firstTokenMS float64, err error) {
 	o := h.smallOptions()
-	o.Prefixes, o.Prefill = prefixesPerVM, 150*time.Millisecond
+	o.PrefixCacheSize, o.Prefill = prefixesPerVM, 150*time.Millisecond
 	l, nodes, err := h.start(o, 2, 4)
 	if err != nil {
 		return 0, 0, 0, err
@@ -83,7 +83,7 @@
 	lat := newLatencies()
 	openLoop(prefixRate, prefixDuration, func(n int) {
 		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: prompts[n%len(prompts)], Tokens: 20})
-		if reply.Whole {
+		if reply.Complete {
 			lat.add(reply.FirstToken)
 		}
 	})
--- a/test/bench/retries.go
+++ b/test/bench/retries.go
@@ -39,14 +39,14 @@
 	c := lab.NewCaller("donors-caller-token")
 	openLoop(60, 20*time.Second, func(n int) {
 		reply := c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: "r", Tokens: 10})
-		if !reply.Whole {
+		if !reply.Complete {
 			unsuccessful.Add(1)
 		}
 		total.Add(1)
 	})
 	sent := int64(0)
 	for _, e := range l.Engines {
-		sent += e.Tried.Load()
+		sent += e.Requests.Load()
 	}
 	return float64(unsuccessful.Load()) / float64(total.Load()), float64(sent) / float64(total.Load()), nil
 }
--- a/test/bench/roll.go
+++ b/test/bench/roll.go
@@ -17,7 +17,7 @@
 		return nil, err
 	}
 	defer l.Close()
-	content, err := os.ReadFile(filepath.Join(l.Files, "donors.json"))
+	content, err := os.ReadFile(filepath.Join(l.ConfigDir, "donors.json"))
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 				return
 			default:
 			}
-			if c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: "v", Tokens: 40}).Whole {
+			if c.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: "v", Tokens: 40}).Complete {
 				complete.Add(1)
 			} else {
 				incomplete.Add(1)
@@ -46,7 +46,7 @@
 		return nil, outputError(out)
 	}
 	minUsable, rolled := 4, 0
-	err = lab.Until(60*time.Second, "every group at version 2", func() bool {
+	err = lab.WaitUntil(60*time.Second, "every group at version 2", func() bool {
 		s, err := l.Status()
 		if err != nil {
 			return false
@@ -88,7 +88,7 @@
 	}
 	const drainDelay, countingTime = 3 * time.Second, 3 * time.Second
 	time.Sleep(drainDelay)
-	before := l.Engines[leader].Tried.Load()
+	before := l.Engines[leader].Requests.Load()
 	time.Sleep(countingTime)
-	return l.Engines[leader].Tried.Load() - before, nil
+	return l.Engines[leader].Requests.Load() - before, nil
 }
--- a/test/bench/shares.go
+++ b/test/bench/shares.go
@@ -19,7 +19,7 @@
 )
 
 func (h *harness) smallOptions() lab.Options {
-	return lab.Options{TokenEvery: 10 * time.Millisecond, Prefill: 20 * time.Millisecond, Config: h.root + "/test/bench/small"}
+	return lab.Options{TokenInterval: 10 * time.Millisecond, Prefill: 20 * time.Millisecond, Config: h.root + "/test/bench/small"}
 }
 
 func splitPlaces(s *settings.Settings) { s.PlacesPolicy = settings.PlacesSplit }
@@ -49,7 +49,7 @@
 
 // shareRatio returns the ratio of the tokens generated for donors to those for pledges. skew percent of donors' callers and
 // 100-skew percent of pledges' callers use the first node; the others use the second.
-func (h *harness) shareRatio(skew int, tunes ...lab.Tune) (float64, error) {
+func (h *harness) shareRatio(skew int, tunes ...lab.SettingsOption) (float64, error) {
 	l, nodes, err := h.start(h.smallOptions(), 2, 4, tunes...)
 	if err != nil {
 		return 0, err
@@ -96,7 +96,7 @@
 	}
 	var usage [2]float64
 	var ratio [2]float64
-	for i, tunes := range [][]lab.Tune{{splitPlaces}, nil} {
+	for i, tunes := range [][]lab.SettingsOption{{splitPlaces}, nil} {
 		l, nodes, err := h.start(h.smallOptions(), 2, 4, tunes...)
 		if err != nil {
 			return nil, err
@@ -178,7 +178,7 @@
 		// The share of donors is 24 places; half of it is 12 concurrent requests of 0.21 s each.
 		openLoop(12/0.21, settleDuration+2*shareDuration, func(n int) {
 			reply := donors.Complete(nodes[n%2].Settings.CallerAddress, lab.Completion{Model: lettersModel, Prompt: "q", Tokens: 20})
-			if reply.Whole && time.Now().After(from) {
+			if reply.Complete && time.Now().After(from) {
 				lat.add(reply.FirstToken)
 			}
 		})
--- a/test/fleet/fleet_test.go
+++ b/test/fleet/fleet_test.go
@@ -85,7 +85,7 @@
 
 func (f *fleet) newServer(i int, proc *process, firstStart bool) *server.Server {
 	s := &settings.Gateway{
-		VM: fmt.Sprintf("entry-%03d", i), DataCentre: dataCentreName(proc.port.Zone()), Region: "r", CallerAddress: proc.port.Address(), PeerAddress: proc.port.Address(),
+		VM: fmt.Sprintf("entry-%03d", i), DataCentre: dataCentreName(proc.port.DataCentre()), Region: "r", CallerAddress: proc.port.Address(), PeerAddress: proc.port.Address(),
 		Capacity: smallCapacity, CredentialProofMS: 5000, CredentialProofRequired: true, Evacuations: true, GraceMS: 1000, AddressLifetimeMS: 1000,
 		RepeatRatio: 0.2, RepeatSlack: 1000, RepeatWindowMS: 10000, LeaseTTLMS: 1500, FirstStart: firstStart, EndpointBeatMS: int(entryInterval / time.Millisecond), SampleOneIn: 20, FailureLinesSecond: 20,
 	}
@@ -105,7 +105,7 @@
 // killAll kills all processes without a shutdown: nothing that they still send arrives.
 func (f *fleet) killAll() {
 	for _, proc := range f.processes {
-		f.network.Cut(true, proc.port)
+		f.network.SetUnreachable(true, proc.port)
 		f.cutFromStore(true, proc)
 		proc.cancel()
 	}
@@ -191,8 +191,8 @@
 		sent := f.network.Sent(proc.port)
 		total.Datagrams += sent.Datagrams
 		total.Bytes += sent.Bytes
-		total.FarBytes += sent.FarBytes
-		total.Beats += sent.Beats
+		total.CrossDataCentreBytes += sent.CrossDataCentreBytes
+		total.DatagramBytes += sent.DatagramBytes
 		if sent.Bytes > busiest.Bytes {
 			busiest = sent
 		}
--- a/test/fleet/start_test.go
+++ b/test/fleet/start_test.go
@@ -39,8 +39,8 @@
 	byKind, calls := f.store.takeCalls()
 	total, busiest := f.traffic()
 	t.Logf("%s: %.1f s; %.0f store calls; all nodes sent %.1f MB, %.1f MB of it in heartbeats and %.1f MB to other data centres; the busiest node has sent %.2f MB so far",
-		label, time.Since(since.at).Seconds(), calls, float64(total.Bytes-since.sent.Bytes)/1e6, float64(total.Beats-since.sent.Beats)/1e6,
-		float64(total.FarBytes-since.sent.FarBytes)/1e6, float64(busiest.Bytes)/1e6)
+		label, time.Since(since.at).Seconds(), calls, float64(total.Bytes-since.sent.Bytes)/1e6, float64(total.DatagramBytes-since.sent.DatagramBytes)/1e6,
+		float64(total.CrossDataCentreBytes-since.sent.CrossDataCentreBytes)/1e6, float64(busiest.Bytes)/1e6)
 	for _, kind := range slices.Sorted(maps.Keys(byKind)) {
 		t.Logf("    %-20s %.0f", kind, byKind[kind])
 	}
--- a/test/gateway/fleet_test.go
+++ b/test/gateway/fleet_test.go
@@ -61,7 +61,7 @@
 type fleet struct {
 	t        *testing.T
 	dir      string // for settings and logs
-	platform *estate.Estate
+	platform *estate.Platform
 	nodes    []*node
 	attempts int
 	mu       sync.Mutex
@@ -97,10 +97,10 @@
 	t.Cleanup(f.close) // registered after TempDir, so that it can read the logs before they are removed
 	f.platform.Configure(1, 5000, "key-1", "key-2")
 	for range 8 {
-		f.platform.Add("engines")
+		f.platform.StartWorker("engines")
 	}
 	for range 2 {
-		f.platform.Add("plain")
+		f.platform.StartWorker("plain")
 	}
 	for i := range 3 {
 		free := freeAddresses(t, 5)
@@ -228,7 +228,7 @@
 
 // isComplete reports whether the stream has all its events and belongs to the request.
 func (r *result) isComplete() bool {
-	if r.err != nil || r.status != http.StatusOK || len(r.events) != estate.Events {
+	if r.err != nil || r.status != http.StatusOK || len(r.events) != estate.EventsPerStream {
 		return false
 	}
 	for i, e := range r.events {
@@ -303,7 +303,7 @@
 	for i := range results {
 		wg.Go(func() { results[i] = f.stream(f.nodes[i%3], "key-1") })
 	}
-	time.Sleep(4 * estate.EventGap)
+	time.Sleep(4 * estate.EventInterval)
 	interrupt()
 	wg.Wait()
 	return results
--- a/test/gateway/leaving_test.go
+++ b/test/gateway/leaving_test.go
@@ -20,7 +20,7 @@
 			f := newFleet(t)
 			leaving := test.pick(f)
 			before := len(f.platform.Arrivals(leaving.ID))
-			leaving.Leave()
+			leaving.AnnounceLeaving()
 			send := func(*node) *result { return test.send(f, f.nodes[0]) }
 			f.load(send, func() bool { return len(f.platform.Arrivals(leaving.ID)) > before })
 			time.Sleep(leavingLatency)
--- a/test/gateway/limit_test.go
+++ b/test/gateway/limit_test.go
@@ -73,7 +73,7 @@
 			f := newFleet(t)
 			limited := test.pick(f)
 			send := func(n *node) *result { return test.send(f, n) }
-			limited.Limit("2.0")
+			limited.AnnounceLimit("2.0")
 			inForce := time.Now().Add(limitLatency)
 			failed := f.load(send, func() bool { return time.Since(inForce) > 2*limitWindow })
 			arrivals := f.platform.Arrivals(limited.ID)
@@ -81,7 +81,7 @@
 			qt.Check(t, got <= allowed(2), qt.IsTrue, qt.Commentf("%d arrivals in a window, allowed %d", got, allowed(2)))
 			qt.Check(t, arrivals[len(arrivals)-1].After(inForce), qt.IsTrue, qt.Commentf("the limited endpoint receives no requests any more"))
 			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests failed although other endpoints had capacity"))
-			limited.Limit("")
+			limited.AnnounceLimit("")
 			lifted := time.Now()
 			restored := func() bool { return peakArrivals(f.platform.Arrivals(limited.ID), lifted) > allowed(2) }
 			f.load(send, restored)
--- a/test/gateway/pause_test.go
+++ b/test/gateway/pause_test.go
@@ -42,7 +42,7 @@
 			f := newFleet(t)
 			refusing := test.pick(f)
 			before := len(f.platform.Arrivals(refusing.ID))
-			refusing.Pause(strconv.Itoa(int(pause.Seconds())))
+			refusing.RefuseWithRetryAfter(strconv.Itoa(int(pause.Seconds())))
 			send := func(*node) *result { return test.send(f, f.nodes[0]) } // a pause applies only to the node that received it
 			start := time.Now()
 			failed := f.load(send, func() bool { return time.Since(start) > 3*pause })
@@ -50,7 +50,7 @@
 			qt.Check(t, maxWithinPause(arrivals) <= pauseMargin, qt.IsTrue, qt.Commentf("%d arrivals within a pause, allowed %d", maxWithinPause(arrivals), pauseMargin))
 			qt.Check(t, len(arrivals) >= 2, qt.IsTrue, qt.Commentf("the endpoint is not tried again after a pause"))
 			qt.Check(t, failed, qt.Equals, int64(0), qt.Commentf("requests failed although other endpoints had capacity"))
-			refusing.Shed(false)
+			refusing.Refuse(false)
 			resumed := len(f.platform.Arrivals(refusing.ID))
 			restored := func() bool { return len(f.platform.Arrivals(refusing.ID)) > resumed+20 }
 			f.load(send, restored)
@@ -64,7 +64,7 @@
 func TestRequestIsRefusedAtOnceWhileAllEndpointsPause(t *testing.T) {
 	f := newFleet(t)
 	for _, w := range f.platform.Workers() {
-		w.Pause("60")
+		w.RefuseWithRetryAfter("60")
 	}
 	for _, path := range []string{"/once/x", "/lm/x"} {
 		f.await("no endpoint receives the request", func() bool {
--- a/test/gateway/quarantine_test.go
+++ b/test/gateway/quarantine_test.go
@@ -21,7 +21,7 @@
 // sendDeadly sends a request that ends every endpoint which begins to run it. It returns the status of the answer, or zero if
 // the connection was closed.
 func (f *fleet) sendDeadly(n *node, path string) int {
-	answer, _, err := f.requestWithBody(context.Background(), n, http.MethodPost, path, "key-1", estate.Deadly)
+	answer, _, err := f.requestWithBody(context.Background(), n, http.MethodPost, path, "key-1", estate.CrashRequestBody)
 	if err != nil {
 		return 0
 	}
@@ -49,19 +49,19 @@
 	for _, path := range []string{"/lm/x", "/again/x"} {
 		t.Run(path, func(t *testing.T) {
 			f := newFleet(t)
-			for i := 0; f.platform.Ends() < endingsToHold; i++ {
+			for i := 0; f.platform.Crashes() < endingsToHold; i++ {
 				f.await("two endpoints of each kind serve", f.hasTwoOfEachKind)
 				f.sendDeadly(f.nodes[i%len(f.nodes)], path)
 			}
 			time.Sleep(endingPropagationTime)
-			before := f.platform.Ends()
+			before := f.platform.Crashes()
 			qt.Check(t, before <= endingsToHold+1, qt.IsTrue, qt.Commentf("%d endpoints have ended", before))
 			for i := range 6 {
 				f.await("two endpoints of each kind serve", f.hasTwoOfEachKind)
 				status := f.sendDeadly(f.nodes[i%len(f.nodes)], path)
 				qt.Check(t, status, qt.Equals, http.StatusServiceUnavailable)
 			}
-			qt.Check(t, f.platform.Ends(), qt.Equals, before, qt.Commentf("the held request still reaches endpoints"))
+			qt.Check(t, f.platform.Crashes(), qt.Equals, before, qt.Commentf("the held request still reaches endpoints"))
 			f.await("other requests are served", func() bool { return f.stream(f.nodes[0], "key-1").isComplete() })
 		})
 	}
@@ -70,12 +70,12 @@
 // The list of held requests is kept in the store, because all nodes lose their memory when they are killed.
 func TestHeldRequestStaysHeldThoughAllNodesAreKilled(t *testing.T) {
 	f := newFleet(t)
-	for i := 0; f.platform.Ends() < endingsToHold; i++ {
+	for i := 0; f.platform.Crashes() < endingsToHold; i++ {
 		f.await("two endpoints of each kind serve", f.hasTwoOfEachKind)
 		f.sendDeadly(f.nodes[i%len(f.nodes)], "/again/x")
 	}
 	f.await("the list of held requests is stored", func() bool { return f.platform.Store.Has("moorrun-quarantine", "held") })
-	before := f.platform.Ends()
+	before := f.platform.Crashes()
 	for _, n := range f.nodes {
 		n.kill()
 	}
@@ -89,5 +89,5 @@
 		qt.Check(t, f.sendDeadly(n, "/again/x"), qt.Equals, http.StatusServiceUnavailable)
 	}
 	f.await("other requests are served", func() bool { return f.stream(f.nodes[0], "key-1").isComplete() })
-	qt.Check(t, f.platform.Ends(), qt.Equals, before)
+	qt.Check(t, f.platform.Crashes(), qt.Equals, before)
 }
--- a/test/integration/apply_test.go
+++ b/test/integration/apply_test.go
@@ -15,7 +15,7 @@
 
 // editedCopy writes a copy of a configuration file with the first from replaced by to, and returns its path.
 func (f *fleet) editedCopy(file, from, to string) string {
-	content, err := os.ReadFile(filepath.Join(f.Files, file))
+	content, err := os.ReadFile(filepath.Join(f.ConfigDir, file))
 	f.Assert(err, qt.IsNil)
 	f.Assert(string(content), qt.Contains, from)
 	dir, err := os.MkdirTemp(f.Dir, "edit-")
@@ -29,8 +29,8 @@
 
 func TestApplyReportsItsRevisionThoughTheStoreAnswerIsLost(t *testing.T) {
 	f := newFleet(t)
-	f.Objects.LoseKey.Store("moorrun/state/head")
-	f.Objects.LoseAnswer.Store(1)
+	f.Objects.DropKeyPrefix.Store("moorrun/state/head")
+	f.Objects.DropNextResponses.Store(1)
 	out := f.CLI("apply", f.editedCopy("workspace-pledges.json", `"min": 1`, `"min": 0`))
 	f.Assert(out.Code, qt.Equals, 0, qt.Commentf("%s%s", out.Stdout, out.Stderr))
 	f.Check(out.Stdout, qt.Contains, "accepted as revision 2")
@@ -40,8 +40,8 @@
 	f := newFleet(t)
 	const operation = "11111111-2222-3333-4444-555555555555"
 	ownFile := f.editedCopy("workspace-pledges.json", `"min": 1`, `"min": 0`)
-	f.Objects.LoseKey.Store("moorrun/state/head")
-	f.Objects.LoseAnswer.Store(1)
+	f.Objects.DropKeyPrefix.Store("moorrun/state/head")
+	f.Objects.DropNextResponses.Store(1)
 	f.Check(f.CLI("apply", ownFile, "--operation", operation).Code, qt.Equals, 0)
 	otherFile := f.editedCopy("workspace-gifts.json", `"latency_ms": 1000`, `"latency_ms": 900`)
 	f.Check(f.CLI("apply", otherFile).Code, qt.Equals, 0)
@@ -100,7 +100,7 @@
 	unknown := f.CLI("apply", f.editedCopy("pool.json", `"workspace": "gifts"`, `"workspace": "nobody"`))
 	f.Check(unknown.Code, qt.Equals, 2)
 	f.Check(unknown.Stderr, qt.Contains, "/shares/2/workspace")
-	f.Check(f.CLI("apply", f.Files).Stdout, qt.Contains, "unchanged at revision 1")
+	f.Check(f.CLI("apply", f.ConfigDir).Stdout, qt.Contains, "unchanged at revision 1")
 }
 
 func TestRequestsAreServedDuringRolloutAndDrain(t *testing.T) {
@@ -108,7 +108,7 @@
 	out := f.CLI("apply", f.editedCopy("workspace-donors.json", `"version": "1"`, `"version": "2"`), "--wait")
 	f.Assert(acceptedPattern.MatchString(out.Stdout), qt.IsTrue, qt.Commentf("%s", out.Stderr))
 	f.waitUntil("three usable groups of letters-70b at version 2", func() bool {
-		f.Check(f.complete(0, "while rolling", 3, nil).Whole, qt.IsTrue)
+		f.Check(f.complete(0, "while rolling", 3, nil).Complete, qt.IsTrue)
 		s, err := f.Status()
 		if err != nil {
 			return false
@@ -123,7 +123,7 @@
 	})
 	f.Check(f.CLI("drain", "rvk-2-a-1").Code, qt.Equals, 0)
 	f.waitUntil("the drained VM is in no group", func() bool {
-		f.Check(f.complete(2, "while draining", 3, nil).Whole, qt.IsTrue)
+		f.Check(f.complete(2, "while draining", 3, nil).Complete, qt.IsTrue)
 		id, _, _ := f.groupOf("rvk-2-a-1")
 		return id == ""
 	})
--- a/test/integration/main_test.go
+++ b/test/integration/main_test.go
@@ -44,7 +44,7 @@
 func newFleet(t *testing.T, overrides ...func(*lab.Options)) *fleet {
 	f := newUnconfiguredFleet(t, overrides...)
 	f.apply()
-	f.Assert(f.UsableGroups(4, waitTimeout), qt.IsNil, qt.Commentf("%s", f.logTails()))
+	f.Assert(f.WaitForUsableGroups(4, waitTimeout), qt.IsNil, qt.Commentf("%s", f.logTails()))
 	return f
 }
 
@@ -53,8 +53,8 @@
 	t.Parallel()
 	c := qt.New(t)
 	o := lab.Options{
-		Dir: t.TempDir(), Bin: binDir, Config: filepath.Join("..", "..", "examples", "gjafabru"),
-		TokenEvery: 10 * time.Millisecond, Prefill: 10 * time.Millisecond, Load: 200 * time.Millisecond, LoadsASecond: 100,
+		Dir: t.TempDir(), BinDir: binDir, Config: filepath.Join("..", "..", "examples", "gjafabru"),
+		TokenInterval: 10 * time.Millisecond, Prefill: 10 * time.Millisecond, WeightLoadTime: 200 * time.Millisecond, LoadsPerSecond: 100,
 	}
 	for _, override := range overrides {
 		override(&o)
@@ -73,14 +73,14 @@
 }
 
 func (f *fleet) apply() {
-	err := lab.Until(waitTimeout, "an accepted configuration", func() bool { return f.CLI("apply", f.Files, "--wait").Code == 0 })
+	err := lab.WaitUntil(waitTimeout, "an accepted configuration", func() bool { return f.CLI("apply", f.ConfigDir, "--wait").Code == 0 })
 	f.Assert(err, qt.IsNil, qt.Commentf("%s", f.logTails()))
 }
 
 func (f *fleet) logTails() string {
 	text := ""
 	for _, n := range f.nodes {
-		content, _ := os.ReadFile(n.Log)
+		content, _ := os.ReadFile(n.LogFile)
 		text += n.Settings.VM + ":\n" + string(content[max(0, len(content)-3000):]) + "\n"
 	}
 	return text
@@ -90,7 +90,7 @@
 // test has already failed, it prints the complete logs.
 func (f *fleet) checkLogs(t *testing.T) {
 	for _, n := range f.nodes {
-		content, _ := os.ReadFile(n.Log)
+		content, _ := os.ReadFile(n.LogFile)
 		if t.Failed() {
 			t.Logf("%s:\n%s", n.Settings.VM, content)
 		}
@@ -107,7 +107,7 @@
 // waitUntil fails the test unless ok returns true within waitTimeout.
 func (f *fleet) waitUntil(condition string, ok func() bool) {
 	f.Helper()
-	f.Assert(lab.Until(waitTimeout, condition, ok), qt.IsNil, qt.Commentf("%s", f.logTails()))
+	f.Assert(lab.WaitUntil(waitTimeout, condition, ok), qt.IsNil, qt.Commentf("%s", f.logTails()))
 }
 
 // leaseHolder waits until a node holds the data centre's lease, and returns the index of that node.
--- a/test/integration/nodes_test.go
+++ b/test/integration/nodes_test.go
@@ -33,7 +33,7 @@
 		current, _, _ := f.groupOf(vm)
 		return current == ""
 	})
-	f.Assert(f.UsableGroups(4, waitTimeout), qt.IsNil, qt.Commentf("%s", f.logTails()))
+	f.Assert(f.WaitForUsableGroups(4, waitTimeout), qt.IsNil, qt.Commentf("%s", f.logTails()))
 }
 
 func TestKilledLeaseHolderIsReplaced(t *testing.T) {
@@ -47,7 +47,7 @@
 	})
 	f.killVM("rvk-1-a-3")
 	reply := f.complete((i+1)%3, "served on", 4, nil)
-	f.Check(reply.Whole, qt.IsTrue)
+	f.Check(reply.Complete, qt.IsTrue)
 }
 
 func TestDataCentreWithoutNodesIsCaredForByOthers(t *testing.T) {
@@ -77,7 +77,7 @@
 	f.nodes[i].Pause(false)
 	f.waitUntil("the resumed node serves requests and has the current assignment", func() bool {
 		out := f.CLIAt(lab.OperatorToken, []string{f.nodes[i].Settings.AdminAddress}, "status", "-o", "json")
-		return out.Code == 0 && strings.Contains(out.Stdout, `"rvk-1-a-9"`) && f.complete(i, "back", 2, nil).Whole
+		return out.Code == 0 && strings.Contains(out.Stdout, `"rvk-1-a-9"`) && f.complete(i, "back", 2, nil).Complete
 	})
 	current, _ := f.Objects.Object("moorrun/state/domains/rvk-1-a")
 	f.Check(string(current.Value), qt.Contains, `"rvk-1-a-9"`)
@@ -101,7 +101,7 @@
 				}
 				return nil
 			})
-			if reply.Whole && reply.Text == lab.ExpectedText(prompt, 500) {
+			if reply.Complete && reply.Text == lab.ExpectedText(prompt, 500) {
 				completed.Add(1)
 			}
 		})
@@ -109,11 +109,11 @@
 	started.Wait()
 	f.nodes[0].Terminate()
 	f.waitUntil("/v1/which lists the terminating node no longer", func() bool {
-		answer, err := lab.NewCaller("").Which(f.callerAddress(1))
+		answer, err := lab.NewCaller("").AddressList(f.callerAddress(1))
 		return err == nil && len(answer.Addresses) == 2
 	})
 	afterStop := f.complete(0, "an address kept", 2, nil)
-	f.Check(afterStop.Whole, qt.IsTrue, qt.Commentf("%d %v", afterStop.Status, afterStop.Err))
+	f.Check(afterStop.Complete, qt.IsTrue, qt.Commentf("%d %v", afterStop.Status, afterStop.Err))
 	callers.Wait()
 	f.Check(completed.Load(), qt.Equals, int64(streams))
 	code, err := f.nodes[0].Wait(waitTimeout)
@@ -127,7 +127,7 @@
 	cold, err := f.StartNode("entry-4", "rvk-2")
 	f.Assert(err, qt.IsNil)
 	f.nodes = append(f.nodes, cold)
-	f.waitUntil("the node started without the store serves requests", func() bool { return f.complete(3, "cold", 3, nil).Whole })
+	f.waitUntil("the node started without the store serves requests", func() bool { return f.complete(3, "cold", 3, nil).Complete })
 	isolated, err := f.StartNode("entry-5", "rvk-1", func(s *settings.Settings) { s.Peers = nil })
 	f.Assert(err, qt.IsNil)
 	f.nodes = append(f.nodes, isolated)
@@ -136,7 +136,7 @@
 	f.Check(reply.Status, qt.Equals, http.StatusServiceUnavailable)
 	f.Check(reply.Verdict, qt.Equals, "not-run")
 	f.Objects.Down.Store(false)
-	f.waitUntil("the node without peers serves requests after the store outage", func() bool { return f.complete(4, "alone", 3, nil).Whole })
+	f.waitUntil("the node without peers serves requests after the store outage", func() bool { return f.complete(4, "alone", 3, nil).Complete })
 }
 
 func TestStreamSurvivesItsEntryVM(t *testing.T) {
@@ -150,10 +150,10 @@
 		return nil
 	}})
 	token := cut.Resume
-	f.Check(cut.Whole, qt.IsFalse)
+	f.Check(cut.Complete, qt.IsFalse)
 	stolen := lab.NewCaller("pledges-caller-token").Resume(f.callerAddress(1), token, cut.Events)
 	f.Check(stolen.Status, qt.Equals, http.StatusForbidden)
 	remainder := donors.Resume(f.callerAddress(1), token, cut.Events)
-	f.Check(remainder.Whole, qt.IsTrue, qt.Commentf("status %d %v", remainder.Status, remainder.Err))
+	f.Check(remainder.Complete, qt.IsTrue, qt.Commentf("status %d %v", remainder.Status, remainder.Err))
 	f.Check(cut.Text+remainder.Text, qt.Equals, lab.ExpectedText("r", tokens))
 }
--- a/test/integration/pause_test.go
+++ b/test/integration/pause_test.go
@@ -37,12 +37,12 @@
 	attempts := func() int64 {
 		n := int64(0)
 		for _, e := range f.Engines {
-			n += e.Tried.Load()
+			n += e.Requests.Load()
 		}
 		return n
 	}
 	for _, e := range f.Engines {
-		e.Pause.Store(pauseSeconds)
+		e.RetryAfterSeconds.Store(pauseSeconds)
 	}
 	f.checkRefusedAtOnce(attempts, func() lab.Reply { return f.complete(0, "p", 1, nil) })
 }
@@ -51,31 +51,33 @@
 // have free places.
 func TestGroupThatAsksForAPauseGetsNoRequests(t *testing.T) {
 	f := newFleet(t)
-	f.waitUntil("the first completion is whole", func() bool { return f.complete(0, "first", 1, nil).Whole })
+	f.waitUntil("the first completion is whole", func() bool { return f.complete(0, "first", 1, nil).Complete })
 	var pausingVM string
 	for vm, e := range f.Engines {
 		if e.Runs.Load() > 0 {
 			pausingVM = vm
-			e.Pause.Store(pauseSeconds)
+			e.RetryAfterSeconds.Store(pauseSeconds)
 		}
 	}
-	before := f.Engines[pausingVM].Tried.Load()
+	before := f.Engines[pausingVM].Requests.Load()
 	for i := range 40 {
-		f.Check(f.complete(0, fmt.Sprint("letter", i), 1, nil).Whole, qt.IsTrue)
+		f.Check(f.complete(0, fmt.Sprint("letter", i), 1, nil).Complete, qt.IsTrue)
 	}
-	f.Check(f.Engines[pausingVM].Tried.Load()-before <= 1, qt.IsTrue, qt.Commentf("%d more attempts at the pausing engine", f.Engines[pausingVM].Tried.Load()-before))
+	f.Check(f.Engines[pausingVM].Requests.Load()-before <= 1, qt.IsTrue, qt.Commentf("%d more attempts at the pausing engine", f.Engines[pausingVM].Requests.Load()-before))
 }
 
 // Guards against a node sending requests to endpoints of a plain service during the pause that they have asked for
 // with Retry-After.
 func TestPlainEndpointsThatAskForAPauseGetNoRequests(t *testing.T) {
 	f := newFleet(t)
-	for _, p := range f.Plains {
-		p.Pause.Store(pauseSeconds)
+	for _, p := range f.PlainEndpoints {
+		p.RetryAfterSeconds.Store(pauseSeconds)
+	}
+	refusals := func() int64 {
+		return f.PlainEndpoints["receipts-1"].Refused.Load() + f.PlainEndpoints["receipts-2"].Refused.Load()
 	}
-	refusals := func() int64 { return f.Plains["receipts-1"].Refused.Load() + f.Plains["receipts-2"].Refused.Load() }
 	gifts := lab.NewCaller("gifts-caller-token")
 	f.checkRefusedAtOnce(refusals, func() lab.Reply {
-		return gifts.Plain(f.callerAddress(0), http.MethodPost, receiptPath, "m", "", "100 kr")
+		return gifts.CallService(f.callerAddress(0), http.MethodPost, receiptPath, "m", "", "100 kr")
 	})
 }
--- a/test/integration/request_test.go
+++ b/test/integration/request_test.go
@@ -17,23 +17,23 @@
 func TestCompletionsAndPlainCallsAreServed(t *testing.T) {
 	f := newFleet(t)
 	donors := lab.NewCaller("donors-caller-token")
-	answer, err := donors.Which(f.callerAddress(0))
+	answer, err := donors.AddressList(f.callerAddress(0))
 	f.Assert(err, qt.IsNil)
 	f.Assert(answer.Addresses, qt.HasLen, 3)
 	for i := range f.nodes {
 		reply := f.complete(i, fmt.Sprint("letter", i), 8, nil)
-		f.Check(reply.Whole, qt.IsTrue)
+		f.Check(reply.Complete, qt.IsTrue)
 		f.Check(reply.Text, qt.Equals, lab.ExpectedText(fmt.Sprint("letter", i), 8))
-		unstreamed := donors.Complete(f.callerAddress(i), lab.Completion{Model: "letters-70b", Prompt: "w", Tokens: 3, Whole: true})
+		unstreamed := donors.Complete(f.callerAddress(i), lab.Completion{Model: "letters-70b", Prompt: "w", Tokens: 3, NonStreaming: true})
 		f.Check(unstreamed.Text, qt.Contains, lab.ExpectedText("w", 3))
 	}
 	burn := f.CLI("report", "burn", "-o", "json")
 	f.Check(burn.Stdout, qt.Contains, `"total": 6,`)
 	f.Check(regexp.MustCompile(`"bad": [1-9]`).MatchString(burn.Stdout), qt.IsFalse, qt.Commentf("a complete answer was counted as bad: %s", burn.Stdout))
-	receipt := lab.NewCaller("gifts-caller-token").Plain(f.callerAddress(0), http.MethodPost, "/services/receipts/receipts", "m", "", "100 kr")
+	receipt := lab.NewCaller("gifts-caller-token").CallService(f.callerAddress(0), http.MethodPost, "/services/receipts/receipts", "m", "", "100 kr")
 	f.Check(receipt.Status, qt.Equals, http.StatusOK)
 	f.Check(receipt.Verdict, qt.Equals, "ran")
-	f.Check(f.Plains["receipts-1"].Runs("m")+f.Plains["receipts-2"].Runs("m"), qt.Equals, 1)
+	f.Check(f.PlainEndpoints["receipts-1"].Runs("m")+f.PlainEndpoints["receipts-2"].Runs("m"), qt.Equals, 1)
 }
 
 func TestRefusalsSayThatNothingRan(t *testing.T) {
@@ -53,13 +53,13 @@
 		f.Check(reply.Verdict, qt.Equals, "not-run", qt.Commentf(c.name))
 	}
 	shared := lab.NewCaller("pledges-caller-token").Complete(f.callerAddress(0), lab.Completion{Model: "letters-70b", Prompt: "p", Tokens: 1})
-	f.Check(shared.Whole, qt.IsTrue)
+	f.Check(shared.Complete, qt.IsTrue)
 }
 
 func TestEachCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	f := newFleet(t)
 	for _, e := range f.Engines {
-		e.CrossNext.Store(true) // the engine answers its first request under another request's ID
+		e.MisattributeNext.Store(true) // the engine answers its first request under another request's ID
 	}
 	var callers sync.WaitGroup
 	for i := range 40 {
@@ -84,14 +84,14 @@
 		}
 		return nil
 	})
-	f.Check(reply.Whole, qt.IsFalse)
+	f.Check(reply.Complete, qt.IsFalse)
 	f.Check(reply.Verdict, qt.Equals, "may-have-run")
 	f.Check(reply.Events < 400, qt.IsTrue)
 	f.waitUntil("the killed VM is in no group", func() bool {
 		id, _, _ := f.groupOf(killedVM)
 		return id == ""
 	})
-	f.Assert(f.UsableGroups(4, waitTimeout), qt.IsNil)
+	f.Assert(f.WaitForUsableGroups(4, waitTimeout), qt.IsNil)
 }
 
 func TestGroupOutOfUseOnceAMemberIsSilent(t *testing.T) {
@@ -109,7 +109,7 @@
 	}
 	f.waitUntil("the group is not usable", func() bool { return !usableNow() })
 	reply := f.complete(0, "others serve on", 4, nil)
-	f.Check(reply.Whole, qt.IsTrue)
+	f.Check(reply.Complete, qt.IsTrue)
 	f.Engines[vm].Freeze(false)
 	f.waitUntil("the group is usable again while the store is down", usableNow)
 	f.Objects.Down.Store(false)
@@ -119,11 +119,11 @@
 	f := newFleet(t)
 	reply := f.complete(1, "leaving", 500, func(n int) error {
 		if n == 3 {
-			return lab.ErrLate
+			return lab.ErrCallerLeft
 		}
 		return nil
 	})
-	f.Check(reply.Err, qt.Equals, lab.ErrLate)
+	f.Check(reply.Err, qt.Equals, lab.ErrCallerLeft)
 	f.waitUntil("an engine has cancelled the stream", func() bool {
 		total := int64(0)
 		for _, e := range f.Engines {
--- a/test/slopes/main.go
+++ b/test/slopes/main.go
@@ -81,7 +81,7 @@
 	if err := writeConfig(filepath.Join(labDir, "in"), vms); err != nil {
 		return nil, err
 	}
-	l, err := lab.New(lab.Options{Dir: labDir, Bin: dir, Config: filepath.Join(labDir, "in"), LoadsASecond: 1000, Load: 50 * time.Millisecond, TokenEvery: 10 * time.Millisecond})
+	l, err := lab.New(lab.Options{Dir: labDir, BinDir: dir, Config: filepath.Join(labDir, "in"), LoadsPerSecond: 1000, WeightLoadTime: 50 * time.Millisecond, TokenInterval: 10 * time.Millisecond})
 	if err != nil {
 		return nil, err
 	}
@@ -92,9 +92,9 @@
 		}
 	}
 	const limit = 60 * time.Second
-	err = lab.Until(limit, "an accepted configuration", func() bool { return l.CLI("apply", l.Files, "--wait").Code == 0 })
+	err = lab.WaitUntil(limit, "an accepted configuration", func() bool { return l.CLI("apply", l.ConfigDir, "--wait").Code == 0 })
 	if err == nil {
-		err = l.UsableGroups(vms/4, limit)
+		err = l.WaitForUsableGroups(vms/4, limit)
 	}
 	if err != nil {
 		l.Close()
@@ -146,20 +146,20 @@
 	var busiest, sum lab.Usage
 	for _, n := range l.Nodes() {
 		u := lab.UsageOf(n.PID()).Since(before[n.PID()])
-		sum.CPUSeconds, sum.Bytes, sum.MemoryMB = sum.CPUSeconds+u.CPUSeconds, sum.Bytes+u.Bytes, sum.MemoryMB+u.MemoryMB
+		sum.CPUSeconds, sum.IOBytes, sum.MemoryMB = sum.CPUSeconds+u.CPUSeconds, sum.IOBytes+u.IOBytes, sum.MemoryMB+u.MemoryMB
 		if u.CPUSeconds > busiest.CPUSeconds {
 			busiest = u
 		}
 	}
 	count := float64(len(before))
 	printUsage(nodes, vms, "busiest", busiest)
-	printUsage(nodes, vms, "mean", lab.Usage{CPUSeconds: sum.CPUSeconds / count, Bytes: sum.Bytes / count, MemoryMB: sum.MemoryMB / count})
+	printUsage(nodes, vms, "mean", lab.Usage{CPUSeconds: sum.CPUSeconds / count, IOBytes: sum.IOBytes / count, MemoryMB: sum.MemoryMB / count})
 	return nil
 }
 
 func printUsage(nodes, vms int, name string, u lab.Usage) {
 	const kb = 1000
-	fmt.Printf("%6d %6d  %-8s %8.2f %8.1f %8.1f\n", nodes, vms, name, 100*u.CPUSeconds/measureTime.Seconds(), u.Bytes/kb/measureTime.Seconds(), u.MemoryMB)
+	fmt.Printf("%6d %6d  %-8s %8.2f %8.1f %8.1f\n", nodes, vms, name, 100*u.CPUSeconds/measureTime.Seconds(), u.IOBytes/kb/measureTime.Seconds(), u.MemoryMB)
 }
 
 // measureChanges prints the mean usage of all nodes together for one accepted change, beyond their idle usage.
@@ -173,7 +173,7 @@
 	total := func() (u lab.Usage) {
 		for _, n := range l.Nodes() {
 			usage := lab.UsageOf(n.PID())
-			u.CPUSeconds, u.Bytes = u.CPUSeconds+usage.CPUSeconds, u.Bytes+usage.Bytes
+			u.CPUSeconds, u.IOBytes = u.CPUSeconds+usage.CPUSeconds, u.IOBytes+usage.IOBytes
 		}
 		return u
 	}
@@ -190,13 +190,13 @@
 	}
 	used := total().Since(start)
 	windows := time.Since(started).Seconds() / measureTime.Seconds()
-	fmt.Printf("%6d nodes %8.2f ms %8.1f KB\n", nodes, 1000*(used.CPUSeconds-windows*idle.CPUSeconds)/applies, (used.Bytes-windows*idle.Bytes)/1000/applies)
+	fmt.Printf("%6d nodes %8.2f ms %8.1f KB\n", nodes, 1000*(used.CPUSeconds-windows*idle.CPUSeconds)/applies, (used.IOBytes-windows*idle.IOBytes)/1000/applies)
 	return nil
 }
 
 // applyChange applies the i-th change of the latency objective.
 func applyChange(l *lab.Lab, i int) error {
-	file := filepath.Join(l.Files, "w.json")
+	file := filepath.Join(l.ConfigDir, "w.json")
 	var w config.Workspace
 	content, err := os.ReadFile(file)
 	if err != nil {
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -16,10 +16,10 @@
 	duration := time.Duration(200+w.faultRand.IntN(2500)) * time.Millisecond
 	i := w.faultRand.IntN(len(w.nodes))
 	node := w.nodes[i]
-	linkFaults := []standin.Fault{standin.Cut, standin.Silent, standin.OneWay, standin.Slow}
+	linkFaults := []standin.Fault{standin.Disconnect, standin.Stall, standin.StallReplies, standin.Delay}
 	fault := linkFaults[w.faultRand.IntN(len(linkFaults))]
 	engine := w.lab.Engines[w.randomEngineVM()]
-	endpoint := w.lab.Plains[[]string{"receipts-1", "receipts-2"}[w.faultRand.IntN(2)]]
+	endpoint := w.lab.PlainEndpoints[[]string{"receipts-1", "receipts-2"}[w.faultRand.IntN(2)]]
 	switch w.faultRand.IntN(14) {
 	case 0:
 		node.Kill()
@@ -30,23 +30,23 @@
 		time.Sleep(duration)
 		node.Pause(false)
 	case 2:
-		node.Peers.Set(fault)
+		node.PeerProxy.SetFault(fault)
 		time.Sleep(duration)
-		node.Peers.Set(standin.Pass)
+		node.PeerProxy.SetFault(standin.NoFault)
 	case 3:
-		node.Store.Set(fault)
+		node.StoreProxy.SetFault(fault)
 		time.Sleep(duration)
-		node.Store.Set(standin.Pass)
+		node.StoreProxy.SetFault(standin.NoFault)
 	case 4:
 		w.lab.Objects.Down.Store(true)
 		time.Sleep(2 * duration)
 		w.lab.Objects.Down.Store(false)
 	case 5:
-		w.lab.Objects.SlowMillis.Store(int64(100 + w.faultRand.IntN(600)))
+		w.lab.Objects.DelayMillis.Store(int64(100 + w.faultRand.IntN(600)))
 		time.Sleep(duration)
-		w.lab.Objects.SlowMillis.Store(0)
+		w.lab.Objects.DelayMillis.Store(0)
 	case 6:
-		w.lab.Objects.LoseAnswer.Store(int64(1 + w.faultRand.IntN(5)))
+		w.lab.Objects.DropNextResponses.Store(int64(1 + w.faultRand.IntN(5)))
 	case 7:
 		engine.Kill()
 		time.Sleep(2 * duration)
@@ -56,20 +56,20 @@
 		time.Sleep(duration)
 		engine.Freeze(false)
 	case 9:
-		w.lab.Links[engine.VM].Set(fault)
+		w.lab.EngineProxies[engine.VM].SetFault(fault)
 		time.Sleep(duration)
-		w.lab.Links[engine.VM].Set(standin.Pass)
+		w.lab.EngineProxies[engine.VM].SetFault(standin.NoFault)
 	case 10:
-		engine.CrossNext.Store(true)
-		endpoint.CutAfter.Store(int64(1 + w.faultRand.IntN(3)))
+		engine.MisattributeNext.Store(true)
+		endpoint.AbortNext.Store(int64(1 + w.faultRand.IntN(3)))
 	case 11:
 		w.lab.CLI("drain", engine.VM)
 		time.Sleep(duration)
 		w.lab.CLI("drain", engine.VM, "--undo")
 	case 12:
-		engine.Pause.Store(1)
+		engine.RetryAfterSeconds.Store(1)
 		time.Sleep(duration)
-		engine.Pause.Store(0)
+		engine.RetryAfterSeconds.Store(0)
 	default: // a paused node during a store outage
 		node.Pause(true)
 		w.lab.Objects.Down.Store(true)
@@ -101,12 +101,12 @@
 // clearFaults ends the store faults, engine link faults and drains that are still in effect.
 func (w *workload) clearFaults() {
 	w.lab.Objects.Down.Store(false)
-	w.lab.Objects.SlowMillis.Store(0)
-	w.lab.Objects.LoseAnswer.Store(0)
+	w.lab.Objects.DelayMillis.Store(0)
+	w.lab.Objects.DropNextResponses.Store(0)
 	for vm := range w.lab.Engines {
-		w.lab.Links[vm].Set(standin.Pass)
+		w.lab.EngineProxies[vm].SetFault(standin.NoFault)
 	}
-	_ = lab.Until(10*time.Second, "drains undone", func() bool {
+	_ = lab.WaitUntil(10*time.Second, "drains undone", func() bool {
 		s, err := w.lab.Status()
 		if err != nil {
 			return false
--- a/test/soak/load.go
+++ b/test/soak/load.go
@@ -27,7 +27,7 @@
 		w.results.countRequest()
 		expected := lab.ExpectedText(prompt, tokens)
 		switch {
-		case reply.Status == http.StatusOK && reply.Whole:
+		case reply.Status == http.StatusOK && reply.Complete:
 			w.results.check(reply.Text == expected, "prompt %s got %q as its whole answer", prompt, reply.Text)
 		case reply.Status == http.StatusOK:
 			w.results.check(strings.HasPrefix(expected, reply.Text), "prompt %s got %q as part of its answer", prompt, reply.Text)
@@ -45,7 +45,7 @@
 		return
 	}
 	remainder := c.Resume(w.callerAddress(node), cut.Resume, cut.Events)
-	if remainder.Status == http.StatusOK && remainder.Whole {
+	if remainder.Status == http.StatusOK && remainder.Complete {
 		w.results.check(cut.Text+remainder.Text == lab.ExpectedText(prompt, tokens), "prompt %s resumed to %q + %q", prompt, cut.Text, remainder.Text)
 	}
 }
@@ -68,7 +68,7 @@
 func (w *workload) requestReceipt(gifts *lab.Caller, node int, mark, key string) {
 	verdict := ""
 	for attempt := range 5 {
-		reply := gifts.Plain(w.callerAddress(node+attempt), http.MethodPost, "/services/receipts/receipts", mark, key, "1")
+		reply := gifts.CallService(w.callerAddress(node+attempt), http.MethodPost, "/services/receipts/receipts", mark, key, "1")
 		w.results.countRequest()
 		if reply.Err == nil {
 			verdict = reply.Verdict
@@ -92,7 +92,7 @@
 func (w *workload) checkRunCounts() {
 	for mark, verdict := range w.keyedCalls.verdicts {
 		runs := 0
-		for _, p := range w.lab.Plains {
+		for _, p := range w.lab.PlainEndpoints {
 			runs += p.Runs(mark)
 		}
 		w.results.check(runs <= 1, "call %s ran %d times", mark, runs)
--- a/test/soak/main.go
+++ b/test/soak/main.go
@@ -53,8 +53,8 @@
 		return 0, err
 	}
 	l, err := lab.New(lab.Options{
-		Dir: dir, Bin: dir, Config: filepath.Join("examples", "gjafabru"), TokenEvery: 10 * time.Millisecond,
-		Prefill: 10 * time.Millisecond, Load: 300 * time.Millisecond, LoadsASecond: 50, VMListLag: 500 * time.Millisecond, Linked: true,
+		Dir: dir, BinDir: dir, Config: filepath.Join("examples", "gjafabru"), TokenInterval: 10 * time.Millisecond,
+		Prefill: 10 * time.Millisecond, WeightLoadTime: 300 * time.Millisecond, LoadsPerSecond: 50, VMListLag: 500 * time.Millisecond, FaultProxies: true,
 	})
 	if err != nil {
 		return 0, err
@@ -82,13 +82,13 @@
 			return err
 		}
 		w.nodes = append(w.nodes, n)
-		w.logFiles[n.Log] = true
+		w.logFiles[n.LogFile] = true
 	}
 	const limit = 30 * time.Second
-	if err := lab.Until(limit, "an accepted configuration", func() bool { return w.lab.CLI("apply", w.lab.Files, "--wait").Code == 0 }); err != nil {
+	if err := lab.WaitUntil(limit, "an accepted configuration", func() bool { return w.lab.CLI("apply", w.lab.ConfigDir, "--wait").Code == 0 }); err != nil {
 		return err
 	}
-	return w.lab.UsableGroups(4, limit)
+	return w.lab.WaitForUsableGroups(4, limit)
 }
 
 // runAll runs callers and operators concurrently and injects faults one after the other meanwhile.
@@ -129,7 +129,7 @@
 // waitForRecovery ends all faults and waits until four replica groups are usable again.
 func (w *workload) waitForRecovery() error {
 	w.clearFaults()
-	err := w.lab.UsableGroups(4, time.Minute)
+	err := w.lab.WaitForUsableGroups(4, time.Minute)
 	if err == nil {
 		return nil
 	}
--- a/test/soak/operators.go
+++ b/test/soak/operators.go
@@ -37,7 +37,7 @@
 // applyChanges applies changes to one workspace until the run ends, each based on the revision read before it.
 func (w *workload) applyChanges(operator int) {
 	r := rand.New(rand.NewPCG(uint64(operator), 1)) //nolint:gosec // repeatable on purpose
-	content, err := os.ReadFile(filepath.Join(w.lab.Files, "workspace-gifts.json"))
+	content, err := os.ReadFile(filepath.Join(w.lab.ConfigDir, "workspace-gifts.json"))
 	if err != nil {
 		w.results.addViolation("%v", err)
 		return
