--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -19,7 +19,7 @@
 	entryTTL     = 2 * time.Minute
 	heldEntryTTL = 10 * time.Minute
 	// renewThreshold is the fraction of a hold that must remain for an attempt not to renew it. Attempts keep a request
-	// held, and nodes are told of renewals at most four times per hold.
+	// held, and renewals are sent to other nodes at most four times per hold.
 	renewThreshold = 0.75
 	// holdTolerance is the difference between the hold times of two nodes that need not be exchanged.
 	holdTolerance = 5 * time.Second
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -79,7 +79,7 @@
 	return len(held) > 0
 }
 
-// merge adds a record to an entry. changed reports whether the entry changed; foundHere reports whether this node knows of
+// merge adds a record to an entry. changed reports whether the entry changed; foundHere reports whether this node has
 // an answer that the sender did not. The caller holds t.mu.
 func (t *Table) merge(e *entry, r Record, asOf, now time.Time) (foundHere, changed bool) {
 	for _, ending := range r.Endings {
--- a/internal/quarantine/investigation.go
+++ b/internal/quarantine/investigation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// causeTTL is how long the cause of an ending is remembered, because the connections of an endpoint's requests do not
+// causeTTL is how long the cause of an ending is kept, because the connections of an endpoint's requests do not
 // all break at the same instant.
 const causeTTL = time.Second
 
@@ -25,15 +25,15 @@
 }
 
 // fresh reports whether the cause also applies to a connection that breaks at now.
-func (o *investigation) fresh(now time.Time) bool {
-	return o.cause == "" || now.Sub(o.start) < causeTTL
+func (inv *investigation) fresh(now time.Time) bool {
+	return inv.cause == "" || now.Sub(inv.start) < causeTTL
 }
 
 // add adds a request that was sent to the endpoint; resent means that another endpoint had failed it before.
-func (o *investigation) add(f Fingerprint, resent bool) {
+func (inv *investigation) add(f Fingerprint, resent bool) {
 	if resent {
-		o.resent = append(o.resent, f)
+		inv.resent = append(inv.resent, f)
 		return
 	}
-	o.requests = append(o.requests, f)
+	inv.requests = append(inv.requests, f)
 }
--- a/internal/quarantine/investigator.go
+++ b/internal/quarantine/investigator.go
@@ -38,7 +38,7 @@
 	// Probe probes whether an endpoint is alive.
 	Probe func(ctx context.Context, e *endpoint.Endpoint) ProbeResult
 	// OnEnding is called after an ending has been recorded. held reports whether a request is newly held back because of it, in
-	// which case the other nodes must be told at once. OnEnding must not block.
+	// which case the other nodes must be notified at once. OnEnding must not block.
 	OnEnding func(held bool)
 	Logger   log.Logger
 
@@ -59,16 +59,16 @@
 	now := clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	o := q.investigations[instanceHash(e)]
+	inv := q.investigations[instanceHash(e)]
 	switch {
-	case o == nil || !o.fresh(now):
+	case inv == nil || !inv.fresh(now):
 		q.investigate(e).add(f, resent)
-	case o.cause == "":
-		o.add(f, resent)
-	case o.cause == endedAlone:
+	case inv.cause == "":
+		inv.add(f, resent)
+	case inv.cause == endedAlone:
 		late := &investigation{}
 		late.add(f, resent)
-		q.recordEnding(e, late, o.start, now)
+		q.recordEnding(e, late, inv.start, now)
 	}
 }
 
@@ -106,8 +106,8 @@
 			delete(q.abandoned, id)
 		}
 	}
-	for instance, o := range q.investigations {
-		if !o.fresh(now) {
+	for instance, inv := range q.investigations {
+		if !inv.fresh(now) {
 			delete(q.investigations, instance)
 		}
 	}
@@ -123,17 +123,17 @@
 	if q.investigations == nil {
 		q.investigations = make(map[uint32]*investigation)
 	}
-	o := &investigation{}
-	q.investigations[instanceHash(e)] = o
+	inv := &investigation{}
+	q.investigations[instanceHash(e)] = inv
 	go q.conclude(e, clock.Now())
-	return o
+	return inv
 }
 
 // recordEnding records the ending against the requests and reports whether any of them is newly held back.
-func (q *Investigator) recordEnding(e *endpoint.Endpoint, o *investigation, noticed, now time.Time) bool {
+func (q *Investigator) recordEnding(e *endpoint.Endpoint, inv *investigation, noticed, now time.Time) bool {
 	ending := EndingOf(e, noticed)
-	held := q.Table.Ended(ending, o.requests, now)
-	return q.Table.Ended(ending.asSeparateIncident(), o.resent, now) || held
+	held := q.Table.Ended(ending, inv.requests, now)
+	return q.Table.Ended(ending.asSeparateIncident(), inv.resent, now) || held
 }
 
 // conclude determines the cause and, if the endpoint ended for no other known reason, records the ending against its
@@ -142,9 +142,9 @@
 	cause := q.findCause(e)
 	now := clock.Now()
 	q.mu.Lock()
-	o := q.investigations[instanceHash(e)]
-	affected := &investigation{requests: o.requests, resent: o.resent}
-	*o = investigation{cause: cause, start: noticed}
+	inv := q.investigations[instanceHash(e)]
+	affected := &investigation{requests: inv.requests, resent: inv.resent}
+	*inv = investigation{cause: cause, start: noticed}
 	if cause == noEndFound {
 		delete(q.investigations, instanceHash(e)) // the endpoint may still end at any time
 		q.mu.Unlock()
@@ -189,7 +189,7 @@
 }
 
 // sampleNeighbours returns random endpoints of e's fabric domain or, if e is in none, of its data centre. Endpoints that this
-// node is investigating or has found to have ended come last, because they tell nothing new about the domain.
+// node is investigating or has found to have ended come last, because probing them gives no new evidence about the domain.
 func (q *Investigator) sampleNeighbours(s *endpoint.Snapshot, e *endpoint.Endpoint) []*endpoint.Endpoint {
 	var out, ended []*endpoint.Endpoint
 	q.mu.Lock()
--- a/internal/quarantine/investigator_test.go
+++ b/internal/quarantine/investigator_test.go
@@ -106,7 +106,7 @@
 }
 
 // Guards against mistaking endings under one request for the loss of their domain: the neighbours of an ended endpoint may
-// include others that have ended as well, which this node knows.
+// include others that have ended as well, which this node has recorded.
 func TestEndedEndpointIsNoEvidenceThatItsDomainIsLost(t *testing.T) {
 	for range 100 { // the probed neighbours are chosen at random
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/quarantine/list_syncer.go
+++ b/internal/quarantine/list_syncer.go
@@ -20,18 +20,18 @@
 const syncInterval = 500 * time.Millisecond
 
 const (
-	// isolationDelay is how long a node must have heard no other before it relies on the store. Starting nodes hear each
-	// other sooner.
+	// isolationDelay is how long a node must have received no heartbeat before it relies on the store. Starting nodes
+	// receive each other's heartbeats sooner.
 	isolationDelay = 1500 * time.Millisecond
-	// isolatedSyncInterval is how often an isolated node reads the stored list: other nodes may hold requests back that it
-	// has not learned of, and write them within syncInterval. A network partition of five seconds costs a node four calls.
+	// isolatedSyncInterval is how often an isolated node reads the stored list: other nodes may hold back requests that
+	// it has received no records of, and write them within syncInterval. A network partition of five seconds costs a node four calls.
 	isolatedSyncInterval = time.Second
 )
 
 // HoldSyncer maintains the list of held requests in the platform's object store, where it survives the loss of all nodes. The
 // leader writes the list when it has changed. Each process reads it once at startup, and a leader again at the beginning of
-// each epoch. Otherwise nodes exchange holds in their heartbeats, whether or not the store is available. A node that hears no
-// other node reads and writes the list as a leader does.
+// each epoch. Otherwise nodes exchange holds in their heartbeats, whether or not the store is available. A node that
+// receives no heartbeats reads and writes the list as a leader does.
 type HoldSyncer struct {
 	Table   *Table
 	Objects infra.ObjectStore
@@ -42,11 +42,11 @@
 	// HasNoPeers reports whether this node receives heartbeats from no other node.
 	HasNoPeers func(now time.Time) bool
 	Logger     log.Logger
-	// FirstStart means that the fleet starts for the first time, so that there is no list to restore.
+	// FirstStart is set if the fleet starts for the first time, so that there is no list to restore.
 	FirstStart bool
 
 	restored         bool
-	isolatedSince    time.Time // zero if this node leads or hears another node
+	isolatedSince    time.Time // zero if this node leads or receives heartbeats
 	lastIsolatedSync time.Time // when an isolated node last read the list
 	loadedEpoch      int64     // epoch for which the list was read
 	version          int64     // version of the stored object; zero if there is none
@@ -60,96 +60,96 @@
 }
 
 // Run maintains the stored list until ctx is done.
-func (k *HoldSyncer) Run(ctx context.Context) error {
-	k.restored = k.FirstStart
+func (s *HoldSyncer) Run(ctx context.Context) error {
+	s.restored = s.FirstStart
 	loop.Every(ctx, syncInterval, func(now time.Time) {
-		if !k.restored {
-			k.restored = k.restore(ctx)
+		if !s.restored {
+			s.restored = s.restore(ctx)
 		}
-		if epoch := k.LeaderEpoch(now); epoch > 0 {
-			k.syncList(ctx, epoch)
+		if epoch := s.LeaderEpoch(now); epoch > 0 {
+			s.syncList(ctx, epoch)
 		}
-		if k.isIsolated(now) && now.Sub(k.lastIsolatedSync) >= isolatedSyncInterval {
-			k.lastIsolatedSync = now
-			k.syncList(ctx, 0)
+		if s.isIsolated(now) && now.Sub(s.lastIsolatedSync) >= isolatedSyncInterval {
+			s.lastIsolatedSync = now
+			s.syncList(ctx, 0)
 		}
 	})
 	return nil
 }
 
-// isIsolated reports whether this node does not lead and has heard no other node for isolationDelay.
-func (k *HoldSyncer) isIsolated(now time.Time) bool {
-	if k.LeaderEpoch(now) > 0 || !k.HasNoPeers(now) {
-		k.isolatedSince = time.Time{}
+// isIsolated reports whether this node does not lead and has received no heartbeat for isolationDelay.
+func (s *HoldSyncer) isIsolated(now time.Time) bool {
+	if s.LeaderEpoch(now) > 0 || !s.HasNoPeers(now) {
+		s.isolatedSince = time.Time{}
 		return false
 	}
-	if k.isolatedSince.IsZero() {
-		k.isolatedSince = now
+	if s.isolatedSince.IsZero() {
+		s.isolatedSince = now
 	}
-	return now.Sub(k.isolatedSince) >= isolationDelay
+	return now.Sub(s.isolatedSince) >= isolationDelay
 }
 
 // restore merges the list left from before a restart, if any, and reports whether the store answered.
-func (k *HoldSyncer) restore(ctx context.Context) bool {
-	l, err := k.Recent(ctx, keys.Quarantine)
+func (s *HoldSyncer) restore(ctx context.Context) bool {
+	l, err := s.Recent(ctx, keys.Quarantine)
 	if err != nil {
 		return false
 	}
 	for _, o := range l.Objects {
 		if o.Key == keys.Held {
-			k.mergeObject(o)
+			s.mergeObject(o)
 		}
 	}
 	return true
 }
 
 // mergeObject merges a stored list into the table.
-func (k *HoldSyncer) mergeObject(o infra.Object) {
+func (s *HoldSyncer) mergeObject(o infra.Object) {
 	records, err := ParseStoredList(o.Value, clock.Now())
 	if err != nil {
-		_ = level.Error(k.Logger).Log("msg", "stored list of held requests is unreadable and will be replaced", "key", o.Key, "err", err)
+		_ = level.Error(s.Logger).Log("msg", "stored list of held requests is unreadable and will be replaced", "key", o.Key, "err", err)
 		return
 	}
-	k.Table.Merge(records, Source{}, clock.Now())
+	s.Table.Merge(records, Source{}, clock.Now())
 }
 
 // syncList reads the list at the beginning of an epoch, or every time if epoch is zero, and writes it if it has changed.
-func (k *HoldSyncer) syncList(ctx context.Context, epoch int64) {
-	if (epoch == 0 || k.loadedEpoch != epoch) && !k.load(ctx) {
+func (s *HoldSyncer) syncList(ctx context.Context, epoch int64) {
+	if (epoch == 0 || s.loadedEpoch != epoch) && !s.load(ctx) {
 		return
 	}
-	k.loadedEpoch = epoch
+	s.loadedEpoch = epoch
 	now := clock.Now()
-	holds := k.Table.Holds(now)
-	if !k.differsFromStore(holds, now) {
+	holds := s.Table.Holds(now)
+	if !s.differsFromStore(holds, now) {
 		return
 	}
-	outcome, version, err := k.Objects.Put(ctx, keys.Held, NewStoredList(holds, now), k.version)
+	outcome, version, err := s.Objects.Put(ctx, keys.Held, NewStoredList(holds, now), s.version)
 	if outcome != infra.Applied {
-		k.loadedEpoch = 0 // read again: another leader may have written the list, or the reply was lost
-		_ = level.Warn(k.Logger).Log("msg", "writing the list of held requests failed", "key", keys.Held, "err", err)
+		s.loadedEpoch = 0 // read again: another leader may have written the list, or the reply was lost
+		_ = level.Warn(s.Logger).Log("msg", "writing the list of held requests failed", "key", keys.Held, "err", err)
 		return
 	}
-	k.version = version
-	k.written = make(map[Fingerprint]writtenHold, len(holds))
+	s.version = version
+	s.written = make(map[Fingerprint]writtenHold, len(holds))
 	for _, r := range holds {
-		k.written[r.Fingerprint] = writtenHold{len(r.Endings), now.Add(r.Hold)}
+		s.written[r.Fingerprint] = writtenHold{len(r.Endings), now.Add(r.Hold)}
 	}
 }
 
 // load reads the list and reports whether the store answered.
-func (k *HoldSyncer) load(ctx context.Context) bool {
-	o, err := k.Objects.Get(ctx, keys.Held)
-	k.written = nil
+func (s *HoldSyncer) load(ctx context.Context) bool {
+	o, err := s.Objects.Get(ctx, keys.Held)
+	s.written = nil
 	switch {
 	case errors.Is(err, infra.ErrNotFound):
-		k.version = 0
+		s.version = 0
 	case err != nil:
 		return false
 	default:
-		k.version = o.Version
-		k.mergeObject(o)
-		k.written = holdsIn(o)
+		s.version = o.Version
+		s.mergeObject(o)
+		s.written = holdsIn(o)
 	}
 	return true
 }
@@ -169,10 +169,10 @@
 }
 
 // differsFromStore reports whether the holds differ from those in the stored list by more than holdTolerance.
-func (k *HoldSyncer) differsFromStore(holds []Record, now time.Time) bool {
-	removed := maps.Clone(k.written)
+func (s *HoldSyncer) differsFromStore(holds []Record, now time.Time) bool {
+	removed := maps.Clone(s.written)
 	for _, r := range holds {
-		w, known := k.written[r.Fingerprint]
+		w, known := s.written[r.Fingerprint]
 		if !known || w.endingCount != len(r.Endings) || now.Add(r.Hold).Sub(w.until) > holdTolerance {
 			return true
 		}
--- a/internal/quarantine/list_syncer_test.go
+++ b/internal/quarantine/list_syncer_test.go
@@ -23,7 +23,7 @@
 
 	mu          sync.Mutex
 	object      infra.Object
-	isolated    bool // the node under test hears no other node
+	isolated    bool // the node under test receives no heartbeats
 	unavailable bool
 	loseReply   bool // the next write is applied, but its reply is lost
 	reads       int
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -1,11 +1,11 @@
 package quarantine
 
-// recentGenerationSize is the minimum number of answered requests that are remembered; they take about 200 KB. At 230
+// recentGenerationSize is the minimum number of answered requests that are kept; they take about 200 KB. At 230
 // requests per second, a node's expected share at the planned fleet size, it covers the last nine seconds. Requests that many
 // callers send are repeated sooner.
 const recentGenerationSize = 2048
 
-// recentSet remembers the most recently added fingerprints: at least recentGenerationSize, at most twice as many.
+// recentSet holds the most recently added fingerprints: at least recentGenerationSize, at most twice as many.
 type recentSet struct {
 	current, previous map[Fingerprint]struct{}
 }
--- a/internal/quarantine/stored_list.go
+++ b/internal/quarantine/stored_list.go
@@ -39,25 +39,25 @@
 func NewStoredList(records []Record, now time.Time) StoredList {
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, func(a, b Record) int { return len(b.Endings) - len(a.Endings) })
-	k := StoredList{Requests: []StoredRequest{}}
+	list := StoredList{Requests: []StoredRequest{}}
 	for _, r := range sorted[:min(len(sorted), maxStoredRequests)] {
 		stored := StoredRequest{Fingerprint: r.Fingerprint.String(), HoldMillis: r.Hold.Milliseconds()}
 		for _, e := range r.Endings {
 			stored.Endings = append(stored.Endings, StoredEnding{e.InstanceHash, e.Domain, now.Sub(e.At).Milliseconds()})
 		}
-		k.Requests = append(k.Requests, stored)
+		list.Requests = append(list.Requests, stored)
 	}
-	return k
+	return list
 }
 
 // ParseStoredList parses a stored list; ages and remaining holds count from now.
 func ParseStoredList(content []byte, now time.Time) ([]Record, error) {
-	var k StoredList
-	if err := json.Unmarshal(content, &k); err != nil {
+	var list StoredList
+	if err := json.Unmarshal(content, &list); err != nil {
 		return nil, storedError.Wrap(err)
 	}
-	out := make([]Record, 0, len(k.Requests))
-	for _, r := range k.Requests {
+	out := make([]Record, 0, len(list.Requests))
+	for _, r := range list.Requests {
 		f, err := strconv.ParseUint(r.Fingerprint, 16, 64)
 		if err != nil {
 			return nil, storedError.New("fingerprint %q is not a hexadecimal number of 16 digits", r.Fingerprint)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -11,7 +11,7 @@
 // adds about 20 entries, so that this suffices for 50 endings within entryTTL.
 const maxEntries = 1024
 
-// Table holds what one node knows of requests under which endpoints have ended. Endings are merged as a set, so that all
+// Table holds one node's records of requests under which endpoints have ended. Endings are merged as a set, so that all
 // nodes arrive at the same state whatever the order of their messages.
 type Table struct {
 	// OnHeld is called when a request begins to be held back; it must not block. It may be nil.
