--- a/internal/endpoint/directory.go
+++ b/internal/endpoint/directory.go
@@ -93,8 +93,8 @@
 	d.current.Store(next)
 }
 
-// MarkLeaving records that the instance has announced in an answer that it leaves, and marks it as draining. Its entry may say
-// so later or not at all.
+// MarkLeaving records that the instance has announced in an answer that it leaves, and marks it as draining. Its entry may show
+// this later or not at all.
 func (d *Directory) MarkLeaving(instance string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -90,7 +90,7 @@
 	return false
 }
 
-// keepModels copies the models last known of an endpoint that has left its group and therefore lists none.
+// keepModels copies the models last reported by an endpoint that has left its group and therefore lists none.
 func (e *Endpoint) keepModels(known *Snapshot) {
 	if e.Membership != nil || len(e.Models) > 0 {
 		return
--- a/internal/endpoint/snapshot.go
+++ b/internal/endpoint/snapshot.go
@@ -31,7 +31,7 @@
 const maxCopyAge = 300 * time.Millisecond
 
 // Cold reports whether the endpoint may be cold now. An endpoint of a data centre that was taken back into use may have become
-// cold just before, for as long as after a start, without its entry saying so yet.
+// cold just before, for as long as after a start, before its entry shows it.
 func (s *Snapshot) Cold(e *Endpoint, coldFor time.Duration, now time.Time) bool {
 	if now.Before(e.ColdUntil) {
 		return true
--- a/internal/engine/model.go
+++ b/internal/engine/model.go
@@ -7,7 +7,7 @@
 
 const (
 	// objectiveFraction is the fraction of the objective that the predicted mean time to the first event of a large prompt may
-	// take. The rest allows for what the figures leave out, 10 to 20 ms by the logs of a fleet of 71 nodes, and for passes that
+	// take. The rest allows for times that the figures omit, 10 to 20 ms by the logs of a fleet of 71 nodes, and for passes that
 	// happen to read several prompts. With groups allocated by this rule 79% of long prompts were answered within 300 ms, and
 	// 71% with groups allocated by the number of places.
 	objectiveFraction = 2.0 / 3
--- a/internal/picker/candidate.go
+++ b/internal/picker/candidate.go
@@ -32,7 +32,7 @@
 	cost           float64
 	limit          int           // most concurrent requests; 0 if unlimited
 	avoidance      int           // level of avoidance; 0 for none. Candidates above the lowest level present are not chosen
-	remainingPause time.Duration // remaining part of the pause that the endpoint asked for
+	remainingPause time.Duration // remaining part of the pause that the endpoint requested
 
 	coldPerSecond float64 // requests per second that the endpoint can take while cold; 0 if it is not cold
 }
--- a/internal/picker/observe.go
+++ b/internal/picker/observe.go
@@ -11,12 +11,12 @@
 	// firstEventTimeout is how long a replica group may send nothing to a request before its first event.
 	firstEventTimeout = 1500 * time.Millisecond
 	// minEventTimeout and maxEventTimeout bound the wait for the next event of a running stream. A group that reads several
-	// long prompts in one pass sends nothing for some 300 ms. Treating it as dead would move its streams to other groups, whose
+	// long prompts in one pass sends nothing for some 300 ms. Treating it as failed would move its streams to other groups, whose
 	// passes would grow in turn, and a stream that is sent again is late in any case.
 	minEventTimeout = 600 * time.Millisecond
 	maxEventTimeout = 1000 * time.Millisecond
 	// firstSuspectAfter, minSuspectAfter and maxSuspectAfter are the corresponding waits after which a group is suspected:
-	// new requests prefer other groups, and the leader asks the group's members whether they are alive.
+	// new requests prefer other groups, and the leader probes the group's members.
 	firstSuspectAfter = 700 * time.Millisecond
 	minSuspectAfter   = 250 * time.Millisecond
 	maxSuspectAfter   = 600 * time.Millisecond
--- a/internal/picker/pause.go
+++ b/internal/picker/pause.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// PausedError is returned when every endpoint that could serve the request has asked for a pause that lasts longer than the
+// PausedError is returned when every endpoint that could serve the request has requested a pause that lasts longer than the
 // request can wait. The request has not been sent.
 type PausedError struct {
 	Remaining time.Duration // time until the first pause ends
 }
 
 func (e *PausedError) Error() string {
-	return fmt.Sprintf("each endpoint that serves it has asked for a pause, the shortest of %s", e.Remaining.Round(time.Millisecond))
+	return fmt.Sprintf("each endpoint that serves it has requested a pause, the shortest of %s", e.Remaining.Round(time.Millisecond))
 }
 
 func isPaused(err error) bool {
@@ -31,7 +31,7 @@
 	return slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.remainingPause, b.remainingPause) }).remainingPause
 }
 
-// pauses holds, by endpoint ID, the ends of the pauses that endpoints have asked this node for.
+// pauses holds, by endpoint ID, the ends of the pauses that endpoints have requested from this node.
 type pauses map[string]time.Time
 
 // extend sets the end of the endpoint's pause to until, unless its present pause ends later.
@@ -55,7 +55,7 @@
 	}
 }
 
-// RecordPause records that the endpoint has asked this node to send it nothing for the given time.
+// RecordPause records that the endpoint has requested that this node send it nothing for the given time.
 func (p *Place) RecordPause(pause time.Duration, now time.Time) {
 	p.picker.mu.Lock()
 	defer p.picker.mu.Unlock()
@@ -69,7 +69,7 @@
 	return p.picker.pauses.remaining(p.Endpoint.ID, now)
 }
 
-// Pausing returns how many endpoints have asked this node for a pause that has not ended.
+// Pausing returns how many endpoints have requested a pause from this node that has not ended.
 func (p *Picker) Pausing(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/picker/requirements.go
+++ b/internal/picker/requirements.go
@@ -10,7 +10,7 @@
 // ErrNoPlace is returned when no endpoint had capacity for the request in time. The request has not been sent.
 var ErrNoPlace = errors.New("no place at any endpoint")
 
-// ErrNoEndpoint is returned when no endpoint serves the wanted service and model. The request has not been sent.
+// ErrNoEndpoint is returned when no endpoint serves the requested service and model. The request has not been sent.
 var ErrNoEndpoint = errors.New("no endpoint that serves it is left")
 
 // Requirements describes the place that a request needs.
--- a/internal/picker/sample_test.go
+++ b/internal/picker/sample_test.go
@@ -12,7 +12,7 @@
 	"moorrun.dev/moorrun/internal/gossip"
 )
 
-// openGroups returns a directory of n open groups of one endpoint each, named by number and spread over the data centres in turn.
+// openGroups returns a directory of n open groups of one endpoint each, named by number and spread over the data centres round-robin.
 func openGroups(n int, dataCentres ...string) *endpoint.Directory {
 	var list []*endpoint.Endpoint
 	for i := range n {
@@ -26,7 +26,7 @@
 	return d
 }
 
-// choices lets each of the nodes in data centre "a" choose once with the same known loads, and counts the choices by group.
+// choices lets each of the nodes in data centre "a" choose once with the same reported loads, and counts the choices by group.
 func choices(t *testing.T, nodes int, d *endpoint.Directory, others *gossip.Totals) map[string]int {
 	t.Helper()
 	out := make(map[string]int)
--- a/internal/ratelimit/counts.go
+++ b/internal/ratelimit/counts.go
@@ -19,12 +19,12 @@
 
 // fits reports whether one more request keeps all nodes together within the number allowed per window. Counts of the other
 // nodes arrive with a delay. So that nodes do not all use the remaining capacity at once, a node sends a request only with
-// the probability allowed/wanted, where wanted is the number of requests that all nodes have sent or withheld, plus this one.
-// draw is a random number in [0, 1).
+// the probability allowed/attempted, where attempted is the number of requests that all nodes have sent or withheld, plus
+// this one. draw is a random number in [0, 1).
 func (c counts) fits(allowed float64, others gossip.RateLimit, draw float64, now time.Time) bool {
 	sent := c.sent.Sum(now)
-	wanted := 1 + sent + c.withheld.Sum(now) + others.Recent + others.Withheld
-	return float64(1+sent+others.Recent) <= allowed && draw*float64(wanted) < allowed
+	attempted := 1 + sent + c.withheld.Sum(now) + others.Recent + others.Withheld
+	return float64(1+sent+others.Recent) <= allowed && draw*float64(attempted) < allowed
 }
 
 // add counts a request as sent or as withheld.
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -28,7 +28,7 @@
 	limitTTL = time.Minute
 )
 
-// Table holds the limits of endpoints that one node knows, and what it has sent to endpoints.
+// Table holds the limits of endpoints received by one node, and the counts of requests that it has sent to them.
 type Table struct {
 	// OnChange is called when an endpoint's answer changes or removes its limit; it must not block. It may be nil.
 	OnChange func(endpoint string, l Limit)
@@ -47,8 +47,8 @@
 type entry struct {
 	limit        Limit
 	asOf         time.Time // when the endpoint last named or removed the limit
-	limitedSince time.Time // when this node learned that the endpoint names a limit
-	lastAnswer   time.Time // last answer to this node that set the limit; zero if it is known only from other nodes
+	limitedSince time.Time // when this node first received a limit of the endpoint
+	lastAnswer   time.Time // last answer to this node that set the limit; zero if only other nodes have reported it
 
 	withheld *window.Counter // requests not sent because of the limit
 }
@@ -167,7 +167,7 @@
 	return out
 }
 
-// Limit returns the last limit named by an endpoint, or the zero Limit if none is known.
+// Limit returns the last limit named by an endpoint, or the zero Limit if there is none.
 func (t *Table) Limit(endpoint string) Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind says whether a request may run more than once.
+// Kind determines whether a request may run more than once.
 type Kind uint8
 
 const (
