--- a/internal/holder/keeper.go
+++ b/internal/holder/keeper.go
@@ -25,22 +25,22 @@
 
 // Keeper acquires, renews and releases one lease object in the platform's store and keeps this node's view of it.
 type Keeper struct {
-	objects infra.ObjectStore
-	key     string
-	ttl     time.Duration
-	wanted  func() bool
-	logger  log.Logger
+	objects    infra.ObjectStore
+	key        string
+	ttl        time.Duration
+	shouldHold func() bool
+	logger     log.Logger
 
 	mu    sync.Mutex
 	lease *lease.Lease
 }
 
-// NewKeeper returns a Keeper for the lease with the given name, such as that of a data centre. want reports
+// NewKeeper returns a Keeper for the lease with the given name, such as that of a data centre. shouldHold reports
 // whether this node should hold the lease. Another process's lease counts as expired only after its time to
 // live and margin have passed.
-func NewKeeper(objects infra.ObjectStore, name, vm string, ttl, margin time.Duration, want func() bool, logger log.Logger) *Keeper {
+func NewKeeper(objects infra.ObjectStore, name, vm string, ttl, margin time.Duration, shouldHold func() bool, logger log.Logger) *Keeper {
 	return &Keeper{
-		objects: objects, key: keys.Lease(name), ttl: ttl, wanted: want, logger: logger,
+		objects: objects, key: keys.Lease(name), ttl: ttl, shouldHold: shouldHold, logger: logger,
 		lease: lease.New(vm, ttl, margin),
 	}
 }
@@ -84,7 +84,7 @@
 func (k *Keeper) Run(ctx context.Context) error {
 	held := false
 	loop.Every(ctx, leaseStepInterval, func(now time.Time) {
-		want := k.wanted()
+		want := k.shouldHold()
 		if _, _, ok := k.Held(now); want || ok {
 			k.step(ctx, want)
 		}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -11,8 +11,8 @@
 // LiveFor is how long a member counts as live after it was last heard from.
 const LiveFor = 5 * time.Second
 
-// forgetAfter is how long a member is kept after it was last heard from.
-const forgetAfter = 10 * time.Minute
+// memberTTL is how long a member is kept after it was last heard from.
+const memberTTL = 10 * time.Minute
 
 // Table holds the members by VM, this process included.
 type Table struct {
@@ -113,8 +113,8 @@
 	return t.list(now, LiveFor)
 }
 
-// All returns the members heard from within forgetAfter, ordered by VM.
-func (t *Table) All(now time.Time) []Member { return t.list(now, forgetAfter) }
+// All returns the members heard from within memberTTL, ordered by VM.
+func (t *Table) All(now time.Time) []Member { return t.list(now, memberTTL) }
 
 func (t *Table) list(now time.Time, within time.Duration) []Member {
 	t.mu.RLock()
@@ -154,12 +154,12 @@
 	return out, t.sequence
 }
 
-// Sweep removes members that were not heard from within forgetAfter.
+// Sweep removes members that were not heard from within memberTTL.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for vm, m := range t.members {
-		if vm != t.self && now.Sub(m.Heard) > forgetAfter {
+		if vm != t.self && now.Sub(m.Heard) > memberTTL {
 			delete(t.members, vm)
 		}
 	}
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -35,7 +35,7 @@
 	engine           infra.Engine
 	assignments      *domains.Reader
 	config           func() *config.Config
-	orphans          *membership.Takeover
+	takeover         *membership.Takeover
 	pollInterval     time.Duration
 	evidenceLifetime time.Duration
 
@@ -49,7 +49,7 @@
 // lifetime has passed since the oldest of the last answers of the group's VMs.
 func New(fleet *peer.Fleet, engine infra.Engine, assignments *domains.Reader, current func() *config.Config, takeover *membership.Takeover, every, lifetime time.Duration) *Observer {
 	return &Observer{
-		fleet: fleet, engine: engine, assignments: assignments, config: current, orphans: takeover, pollInterval: every, evidenceLifetime: lifetime,
+		fleet: fleet, engine: engine, assignments: assignments, config: current, takeover: takeover, pollInterval: every, evidenceLifetime: lifetime,
 		watches: make(map[string]domainWatch),
 	}
 }
@@ -104,7 +104,7 @@
 			continue
 		}
 		if _, known := actingNodes[d.DataCentre]; !known {
-			actingNodes[d.DataCentre] = o.orphans.ActingNodes(d.DataCentre, now)
+			actingNodes[d.DataCentre] = o.takeover.ActingNodes(d.DataCentre, now)
 		}
 		purpose := "observe/" + name
 		if d.DataCentre != self.DataCentre {
--- a/internal/relay/links.go
+++ b/internal/relay/links.go
@@ -52,7 +52,7 @@
 	cancel         context.CancelFunc
 	started        time.Time
 	aliveAt        time.Time // latest instant at which the relay is known to have been alive
-	lastWanted     time.Time // time of the last review that required the link
+	lastRequired   time.Time // time of the last review that required the link
 }
 
 // NewLinks returns Links without any link. The peer addresses in seeds are tried while no link is up.
@@ -111,7 +111,7 @@
 		}
 	}
 	for address, k := range l.links {
-		if now.Sub(k.lastWanted) > releaseAfter {
+		if now.Sub(k.lastRequired) > releaseAfter {
 			k.cancel()
 			delete(l.links, address)
 		}
@@ -166,7 +166,7 @@
 		linkCtx, k.cancel = context.WithCancel(ctx)
 		l.wg.Go(func() { l.maintain(linkCtx, k) })
 	}
-	k.lastWanted = now
+	k.lastRequired = now
 	return k.up(now) || now.Sub(k.started) < connectGrace
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -69,7 +69,7 @@
 	gateway             *gateway.Gateway
 	quarantine          *quarantine.Table
 	investigator        *quarantine.Investigator
-	quarantineKeeper    *quarantine.HoldSyncer
+	holdSyncer          *quarantine.HoldSyncer
 	rpc                 *gossip.Server
 	reporter            *metrics.Reporter
 	scope               tally.Scope
@@ -196,7 +196,7 @@
 	}
 	g.Go(func() error { _ = n.rpc.Serve(work, n.transport.Calls); return nil })
 	for _, run := range []func(context.Context) error{
-		n.gossip.Run, n.follower.Run, n.keeper.Run, n.controller.Run, n.applyChanges, n.register, n.sweep, n.updateGauges, n.monitorProof, n.quarantineKeeper.Run,
+		n.gossip.Run, n.follower.Run, n.keeper.Run, n.controller.Run, n.applyChanges, n.register, n.sweep, n.updateGauges, n.monitorProof, n.holdSyncer.Run,
 	} {
 		g.Go(func() error { return run(work) })
 	}
