--- a/internal/picker/pause.go
+++ b/internal/picker/pause.go
@@ -15,7 +15,7 @@
 }
 
 func (e *PausedError) Error() string {
-	return fmt.Sprintf("each endpoint that serves it has requested a pause, the shortest of %s", e.Remaining.Round(time.Millisecond))
+	return fmt.Sprintf("each endpoint that serves it has asked for a pause, the shortest of %s", e.Remaining.Round(time.Millisecond))
 }
 
 func isPaused(err error) bool {
@@ -69,7 +69,7 @@
 	return p.picker.pauses.remaining(p.Endpoint.ID, now)
 }
 
-// Pausing returns how many endpoints have requested a pause from this node that has not ended.
+// Pausing returns the number of endpoints that have requested a pause from this node and whose pause has not ended.
 func (p *Picker) Pausing(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
