--- a/internal/holder/keeper.go
+++ b/internal/holder/keeper.go
@@ -84,9 +84,9 @@
 func (k *Keeper) Run(ctx context.Context) error {
 	held := false
 	loop.Every(ctx, leaseStepInterval, func(now time.Time) {
-		want := k.shouldHold()
-		if _, _, ok := k.Held(now); want || ok {
-			k.step(ctx, want)
+		shouldHold := k.shouldHold()
+		if _, _, ok := k.Held(now); shouldHold || ok {
+			k.step(ctx, shouldHold)
 		}
 		if _, _, holds := k.Held(clock.Now()); holds != held {
 			held = holds
@@ -107,12 +107,12 @@
 	k.step(ctx, false)
 }
 
-func (k *Keeper) step(ctx context.Context, want bool) {
+func (k *Keeper) step(ctx context.Context, shouldHold bool) {
 	ctx, cancel := context.WithTimeout(rest.Urgent(ctx), k.ttl/2)
 	defer cancel()
 	operation := uuid.NewString()
 	k.mu.Lock()
-	action, record, ifVersion := k.lease.Next(clock.Now(), want, operation)
+	action, record, ifVersion := k.lease.Next(clock.Now(), shouldHold, operation)
 	if action == lease.Write {
 		k.lease.Sending(record, clock.Now())
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -39,21 +39,21 @@
 }
 
 // Next returns the action that is due at now. For a Write it also returns the record to write and the object
-// version on which the write must be conditional. want is true if this process should hold the lease;
+// version on which the write must be conditional. shouldHold is true if this process should hold the lease;
 // operation is the ID given to a write.
-func (l *Lease) Next(now time.Time, want bool, operation string) (Action, Record, int64) {
+func (l *Lease) Next(now time.Time, shouldHold bool, operation string) (Action, Record, int64) {
 	if !l.known || len(l.inflight) > 0 {
 		return Read, Record{}, 0
 	}
 	_, until, held := l.Held(now)
 	switch {
-	case held && !want:
+	case held && !shouldHold:
 		return Write, Record{Epoch: l.epoch, Operation: operation, TTLMillis: 0}, l.version
 	case held && until.Sub(now) < l.ttl*2/3:
 		return Write, l.claimRecord(l.epoch, operation), l.version
 	case held:
 		return Wait, Record{}, 0
-	case want && l.available(now):
+	case shouldHold && l.available(now):
 		return Write, l.claimRecord(l.record.Epoch+1, operation), l.version
 	case now.Sub(l.refreshedAt) >= l.ttl/3:
 		return Read, Record{}, 0
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -43,11 +43,11 @@
 	return f
 }
 
-func (f *fleet) step(node int, deliver, answer, want bool) {
+func (f *fleet) step(node int, deliver, answer, shouldHold bool) {
 	l := f.nodes[node]
 	f.ops++
 	op := fmt.Sprint("op", f.ops)
-	action, record, ifVersion := l.Next(f.now, want, op)
+	action, record, ifVersion := l.Next(f.now, shouldHold, op)
 	switch action {
 	case lease.Read:
 		if answer {
@@ -124,8 +124,8 @@
 			}
 			node := rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node") // a node not drawn is paused
 			delivery := rapid.IntRange(0, 9).Draw(t, "fate")
-			want := rapid.IntRange(0, 4).Draw(t, "want") > 0
-			f.step(node, delivery != 0, delivery > 1, want)
+			shouldHold := rapid.IntRange(0, 4).Draw(t, "want") > 0
+			f.step(node, delivery != 0, delivery > 1, shouldHold)
 			f.check(t)
 			if rapid.Bool().Draw(t, "tell") {
 				f.reportToOthers(node)
