--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -80,7 +80,7 @@
 }
 
 // merge adds a record to an entry. changed reports whether the entry changed; foundHere reports whether this node has
-// an answer that the sender did not. The caller holds t.mu.
+// recorded an answer that the record lacks. The caller holds t.mu.
 func (t *Table) merge(e *entry, r Record, asOf, now time.Time) (foundHere, changed bool) {
 	for _, ending := range r.Endings {
 		changed = e.add(ending) || changed
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -22,7 +22,7 @@
 // Nodes counts the nodes that share the slack.
 type Nodes struct {
 	All  int
-	Busy int // nodes that have requests, including this one; 0 if this one has none, or has had them too briefly to have counted the others
+	Busy int // nodes that have requests, including this one; 0 if this one has none, or has had them too briefly to count the others
 }
 
 // Limits bounds the retries of one service's requests by all nodes together within a window.
