--- a/internal/formation/candidate.go
+++ b/internal/formation/candidate.go
@@ -80,7 +80,7 @@
 
 // worthForming adds up what the candidate costs the other models and reports whether it may be formed in spite of that.
 // Each model that could form fewer groups must stay at or below its target utilisation with the groups that it could
-// still have, or the pressure of m must be at least evictionPressureRatio times the pressure of that model then.
+// still have, or the pressure of m must be at least minEvictionPressureRatio times the pressure of that model then.
 func (p *Planner) worthForming(v *View, copiesByModel modelCopies, have map[string]int, m route.Model, c *candidate) bool {
 	need := p.pressure(v, m, have)
 	for _, other := range v.Service.Engine.Models {
