--- a/internal/formation/candidate.go
+++ b/internal/formation/candidate.go
@@ -9,30 +9,32 @@
 	"moorrun.dev/moorrun/internal/route"
 )
 
-// farMorePressed is how many times more pressed a model has to be than the one that loses the ability to form a group by
-// it. It is a margin against groups that move to and fro; other values have not been tried.
-const farMorePressed = 1.5
+// evictionPressureRatio is how many times the pressure of another model a model's own pressure has to be before its
+// group may cost that model the ability to form one of its own. The margin keeps groups from switching back and forth;
+// other values have not been tried.
+const evictionPressureRatio = 1.5
 
-// candidate is a replica group that could be formed of free endpoints.
+// candidate is a replica group that could be formed from free endpoints.
 type candidate struct {
-	domain  string
-	members []*endpoint.Endpoint
-	within  time.Duration // it would be ready
-	lost    int           // groups of other models that could not be formed any more without loads
-	forgets int           // members that would forget the model they hold
+	domain     string
+	members    []*endpoint.Endpoint
+	readyIn    time.Duration // time until the group is ready
+	groupsLost int           // groups of other models that could no longer be formed without loading weights
+	evictions  int           // pairs of a member and another model that the member would evict
 }
 
-// compare orders candidates: what costs the other models least comes first, then what is ready soonest.
+// compare orders candidates by the cost to other models first, then by the time until they are ready.
 func (c *candidate) compare(d *candidate) int {
-	return cmp.Or(cmp.Compare(c.lost, d.lost), cmp.Compare(c.forgets, d.forgets), cmp.Compare(c.within, d.within), cmp.Compare(c.domain, d.domain))
+	return cmp.Or(cmp.Compare(c.groupsLost, d.groupsLost), cmp.Compare(c.evictions, d.evictions), cmp.Compare(c.readyIn, d.readyIn), cmp.Compare(c.domain, d.domain))
 }
 
-// fits remembers, by model and domain, which free endpoints a group would be formed of. Only the domain of a new plan has
-// others then: fitting every domain again for each of 480 groups took the leader of 3,040 endpoints 3 s.
-type fits map[string]map[string][]*endpoint.Endpoint
+// fitCache caches, by model and domain, the free endpoints that a group would be formed from. A new plan changes only
+// its own domain: fitting every domain again for each of 480 groups took the leader of 3,040 endpoints 3 s.
+type fitCache map[string]map[string][]*endpoint.Endpoint
 
-// of returns what fit returned for the domain, or asks it now. Nil remembers nothing.
-func (f fits) of(model, domain string, fit func() []*endpoint.Endpoint) []*endpoint.Endpoint {
+// getOrCompute returns the cached members for the domain, or calls fit and caches its result. A nil cache always calls
+// fit.
+func (f fitCache) getOrCompute(model, domain string, fit func() []*endpoint.Endpoint) []*endpoint.Endpoint {
 	if f == nil {
 		return fit()
 	}
@@ -47,27 +49,27 @@
 	return members
 }
 
-// forget forgets a domain, whose free endpoints have changed.
-func (f fits) forget(domain string) {
+// invalidate drops the entries of a domain whose free endpoints have changed.
+func (f fitCache) invalidate(domain string) {
 	for _, domains := range f {
 		delete(domains, domain)
 	}
 }
 
-// bestCandidate returns the best group of the model that the free endpoints allow, or nil. Known remembers their fits; it
-// is nil if free is not what it remembers them of.
-func (p *Planner) bestCandidate(v *View, free map[string][]*endpoint.Endpoint, have map[string]int, m route.Model, known fits) *candidate {
+// bestCandidate returns the best group of the model that the free endpoints allow, or nil. cache holds the results of
+// fit for exactly these free endpoints; it is nil for any other set.
+func (p *Planner) bestCandidate(v *View, free map[string][]*endpoint.Endpoint, have map[string]int, m route.Model, cache fitCache) *candidate {
 	var best *candidate
 	for domain, list := range free {
 		if r, ok := p.reserved[domain]; ok && r.model != m.Name && v.Now.Before(r.until) {
 			continue
 		}
-		members := known.of(m.Name, domain, func() []*endpoint.Endpoint { return p.fit(v, list, m) })
+		members := cache.getOrCompute(m.Name, domain, func() []*endpoint.Endpoint { return p.fit(v, list, m) })
 		if members == nil {
 			continue
 		}
-		c := &candidate{domain: domain, members: members, within: joinTime(m, members)}
-		if v.Busy && !p.worth(v, p.capabilityOf(v), have, m, c) {
+		c := &candidate{domain: domain, members: members, readyIn: joinTime(m, members)}
+		if v.Busy && !p.worthForming(v, p.countCopies(v), have, m, c) {
 			continue
 		}
 		if best == nil || c.compare(best) < 0 {
@@ -77,37 +79,38 @@
 	return best
 }
 
-// worth works out what the candidate costs the other models, and reports whether it may be formed nevertheless: what
-// they could still have has to be comfortable for them, or the model has to be far more pressed than they would be.
-func (p *Planner) worth(v *View, known capability, have map[string]int, m route.Model, c *candidate) bool {
+// worthForming adds up what the candidate costs the other models and reports whether it may be formed in spite of that.
+// Each model that could form fewer groups must stay at or below its target utilisation with the groups that it could
+// still have, or m must be under far more pressure than that model would be.
+func (p *Planner) worthForming(v *View, copies modelCopies, have map[string]int, m route.Model, c *candidate) bool {
 	need := p.pressure(v, m, have)
 	for _, other := range v.Service.Engine.Models {
-		forget := 0
+		evicted := 0
 		for _, e := range c.members {
-			if forgets(e, m, other) {
-				forget++
+			if evicts(e, m, other) {
+				evicted++
 			}
 		}
-		lost := known.lost(other, c.domain, forget)
-		c.forgets += forget
-		c.lost += lost
+		lost := copies.groupsLost(other, c.domain, evicted)
+		c.evictions += evicted
+		c.groupsLost += lost
 		if lost == 0 {
 			continue
 		}
-		if left := p.shadow(v, known, other, lost); left > comfortable && need < farMorePressed*left {
+		if left := p.potentialPressure(v, copies, other, lost); left > targetUtilisation && need < evictionPressureRatio*left {
 			return false
 		}
 	}
 	return true
 }
 
-// fit returns the best members for a group of the model, or nil if there are too few that need not load it from the
-// weight store first: those that forget nothing, then those that could serve no other model, then the quickest. Before
-// any request has come loads are quick.
+// fit returns the best members for a group of the model, or nil if there are too few. Members that evict no model come
+// first, then those that could serve no other model, then those ready soonest. While requests arrive, endpoints that
+// would first have to load the model from the weight store are not considered; before the first request loads are fast.
 func (p *Planner) fit(v *View, free []*endpoint.Endpoint, m route.Model) []*endpoint.Endpoint {
 	var able []*endpoint.Endpoint
 	for _, e := range free {
-		if !v.Busy || e.Holds(m.Name) || e.HasStaged(m.Name) && !p.loading(e) {
+		if !v.Busy || e.Holds(m.Name) || e.HasStaged(m.Name) && !p.isLoading(e) {
 			able = append(able, e)
 		}
 	}
@@ -115,27 +118,28 @@
 		return nil
 	}
 	slices.SortStableFunc(able, func(a, b *endpoint.Endpoint) int {
-		forgetsA, keepsA := p.others(v, a, m)
-		forgetsB, keepsB := p.others(v, b, m)
-		return cmp.Or(cmp.Compare(forgetsA, forgetsB), cmp.Compare(keepsA, keepsB), warmth(b, m)-warmth(a, m))
+		evictsA, hasA := p.countOthers(v, a, m)
+		evictsB, hasB := p.countOthers(v, b, m)
+		return cmp.Or(cmp.Compare(evictsA, evictsB), cmp.Compare(hasA, hasB), warmth(b, m)-warmth(a, m))
 	})
 	return able[:m.Size:m.Size]
 }
 
-// others counts the other models that the endpoint would forget in a group of m, and those that it would keep.
-func (p *Planner) others(v *View, e *endpoint.Endpoint, m route.Model) (forgotten, kept int) {
+// countOthers counts the other models that the endpoint would evict in a group of m, and those that it would keep.
+func (p *Planner) countOthers(v *View, e *endpoint.Endpoint, m route.Model) (evictedModels, keptModels int) {
 	for _, other := range v.Service.Engine.Models {
 		switch {
-		case forgets(e, m, other):
-			forgotten++
-		case other.Name != m.Name && keeps(e, other):
-			kept++
+		case evicts(e, m, other):
+			evictedModels++
+		case other.Name != m.Name && hasCopy(e, other):
+			keptModels++
 		}
 	}
-	return forgotten, kept
+	return evictedModels, keptModels
 }
 
-// warmth is higher the sooner the endpoint can be ready for the model.
+// warmth ranks how soon the endpoint can be ready for the model: 2 if it holds the model, 1 if the model is staged on
+// its host, 0 if the model has to be loaded from the weight store.
 func warmth(e *endpoint.Endpoint, m route.Model) int {
 	switch {
 	case e.Holds(m.Name):
@@ -147,7 +151,7 @@
 	}
 }
 
-// joinTime is how long the members take to be ready, at the most.
+// joinTime returns an upper bound on the time that the members take to be ready.
 func joinTime(m route.Model, members []*endpoint.Endpoint) time.Duration {
 	longest := time.Duration(0)
 	for _, e := range members {
--- a/internal/formation/controller.go
+++ b/internal/formation/controller.go
@@ -226,7 +226,7 @@
 		"endpoint", o.Endpoint.ID, "outcome", outcome.String(), "ms", clock.Since(sent).Milliseconds())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p.Result(o, outcome, clock.Now())
+	p.RecordOutcome(o, outcome, clock.Now())
 	if outcome != Unknown {
 		c.Wake()
 	}
--- a/internal/formation/convert.go
+++ b/internal/formation/convert.go
@@ -11,60 +11,62 @@
 )
 
 const (
-	// convertEvery is the least time between two conversions.
-	convertEvery = 600 * time.Millisecond
-	// pressed is the pressure from which a model gets free endpoints before one that is in no need.
-	pressed = 0.7
-	// spareBelow is the pressure that the other model may have without those groups.
-	spareBelow = 0.8
-	// strained is the pressure from which a model gets the members of another one's groups, and relief the part of it
-	// that the other one's may reach without them. Where both are strained a group moved to and fro serves neither
-	// for two seconds each time. The other one may reach more as long as it stays the less pressed of both: where fifteen
-	// members of a group of sixteen have lost the last, four endpoints of the other model make them serve again.
-	strained = 0.55
-	relief   = 0.75
-	// reserveFor is how long the members of a domain are kept for the model that they are freed for.
-	reserveFor = 5 * time.Second
+	// conversionInterval is the least time between two conversions, which end groups of one model for another.
+	conversionInterval = 600 * time.Millisecond
+	// highPressure is the pressure from which a model gets free endpoints before a model that is not in need.
+	highPressure = 0.7
+	// maxDonorPressure is the highest pressure that the model giving up groups may have afterwards.
+	maxDonorPressure = 0.8
+	// conversionPressure is the pressure from which a model gets members of another model's groups. donorPressureRatio
+	// limits the pressure of that other model afterwards, as a fraction of the first model's pressure. When both are
+	// under pressure, a group that switches back and forth serves neither for two seconds each time. The limit may be
+	// exceeded as long as the donor stays below the recipient's new pressure: where a group of sixteen has lost one
+	// member, four endpoints of the other model make the fifteen that are left serve again.
+	conversionPressure = 0.55
+	donorPressureRatio = 0.75
+	// reservationDuration is how long the free endpoints of a domain are reserved for the model that they were freed
+	// for.
+	reservationDuration = 5 * time.Second
 )
 
-// reservation keeps a domain's free endpoints for one model.
+// reservation reserves a domain's free endpoints for one model.
 type reservation struct {
 	model string
 	until time.Time
 }
 
-// convert ends groups of the model that is least in need, where their members let one of the most needed form.
+// convert ends groups of the model least in need if their members let a group of the model most in need form.
 func (p *Planner) convert(v *View, free map[string][]*endpoint.Endpoint, have map[string]int) {
-	models := p.byNeed(v, have)
-	if len(models) < 2 || !v.Busy || v.Now.Sub(p.converted) < convertEvery || v.Now.Sub(p.started) < settle {
+	models := p.modelsByNeed(v, have)
+	if len(models) < 2 || !v.Busy || v.Now.Sub(p.lastConversion) < conversionInterval || v.Now.Sub(p.started) < firstLoadDelay {
 		return
 	}
-	needed, rich := models[0], models[len(models)-1]
-	coming := p.withReserved(v, have)
-	need := p.pressure(v, needed, coming)
-	if need < strained {
+	recipient, donor := models[0], models[len(models)-1]
+	expected := p.withPendingConversions(v, have)
+	need := p.pressure(v, recipient, expected)
+	if need < conversionPressure {
 		return
 	}
-	victims := p.victims(v, free, needed, rich)
-	if len(victims) == 0 {
+	chosen := p.groupsToConvert(v, free, recipient, donor)
+	if len(chosen) == 0 {
 		return
 	}
-	given := len(victims) * rich.Size
-	left := p.pressure(v, rich, map[string]int{rich.Name: have[rich.Name] - given})
-	gained := max(1, given/needed.Size) * needed.Size
-	eased := p.pressure(v, needed, map[string]int{needed.Name: coming[needed.Name] + gained})
-	if left > min(spareBelow, max(relief*need, eased)) {
+	removed := len(chosen) * donor.Size
+	donorAfter := p.pressure(v, donor, map[string]int{donor.Name: have[donor.Name] - removed})
+	added := max(1, removed/recipient.Size) * recipient.Size
+	recipientAfter := p.pressure(v, recipient, map[string]int{recipient.Name: expected[recipient.Name] + added})
+	if donorAfter > min(maxDonorPressure, max(donorPressureRatio*need, recipientAfter)) {
 		return
 	}
-	p.converted = v.Now
-	p.reserved[victims[0].Domain] = reservation{needed.Name, v.Now.Add(reserveFor)}
-	for _, g := range victims {
-		p.retire(v, g.Name, g.Epoch, g.Head, "model "+needed.Name+" needs its members", finishFor)
+	p.lastConversion = v.Now
+	p.reserved[chosen[0].Domain] = reservation{recipient.Name, v.Now.Add(reservationDuration)}
+	for _, g := range chosen {
+		p.retire(v, g.Name, g.Epoch, g.Head, "model "+recipient.Name+" needs its members", drainTimeout)
 	}
 }
 
-// withReserved counts in the groups for which members are being freed.
-func (p *Planner) withReserved(v *View, have map[string]int) map[string]int {
+// withPendingConversions adds to have the groups for which members are being freed, and drops expired reservations.
+func (p *Planner) withPendingConversions(v *View, have map[string]int) map[string]int {
 	out := maps.Clone(have)
 	for domain, r := range p.reserved {
 		if v.Now.After(r.until) {
@@ -77,12 +79,13 @@
 	return out
 }
 
-// victims returns the fewest groups of one domain whose members, with those that are free there, can form a group.
-func (p *Planner) victims(v *View, free map[string][]*endpoint.Endpoint, needed, rich route.Model) []*endpoint.Group {
+// groupsToConvert returns the smallest set of the donor's groups in one domain whose members, together with the free
+// endpoints there, can form a group of the recipient.
+func (p *Planner) groupsToConvert(v *View, free map[string][]*endpoint.Endpoint, recipient, donor route.Model) []*endpoint.Group {
 	byDomain := make(map[string][]*endpoint.Group)
 	for name, g := range v.Snapshot.Groups {
 		_, ended := p.ended[name]
-		if g.Service == v.Service.Name && g.Model == rich.Name && g.Head != nil && p.retiring[name] == nil && p.plans[name] == nil && !ended {
+		if g.Service == v.Service.Name && g.Model == donor.Name && g.Head != nil && p.retiring[name] == nil && p.plans[name] == nil && !ended {
 			byDomain[g.Domain] = append(byDomain[g.Domain], g)
 		}
 	}
@@ -100,7 +103,7 @@
 			for _, e := range g.Members {
 				members = append(members, e)
 			}
-			if p.fit(v, members, needed) == nil {
+			if p.fit(v, members, recipient) == nil {
 				continue
 			}
 			if best == nil || i+1 < len(best) {
--- a/internal/formation/engine.go
+++ b/internal/formation/engine.go
@@ -6,7 +6,7 @@
 	"moorrun.dev/moorrun/internal/endpoint"
 )
 
-// Answer is what asking an endpoint directly has shown.
+// Answer is the result of probing an endpoint directly.
 type Answer uint8
 
 const (
@@ -14,19 +14,19 @@
 	Answered Answer = iota + 1
 	// AnsweredBusy means that the endpoint answered and is still carrying out an order, such as a load.
 	AnsweredBusy
-	// NobodyThere means that nothing listens there, or another endpoint does.
+	// NobodyThere means that nothing listens at the address, or that another endpoint does.
 	NobodyThere
-	// Silent means that nothing came.
+	// Silent means that no answer came before the timeout.
 	Silent
 )
 
 // Heard reports whether the endpoint answered.
 func (a Answer) Heard() bool { return a == Answered || a == AnsweredBusy }
 
-// Engine talks to endpoints.
+// Engine sends probes and orders to endpoints.
 type Engine interface {
-	// Ask asks the endpoint for a report.
+	// Ask probes the endpoint for its state.
 	Ask(ctx context.Context, e *endpoint.Endpoint) Answer
-	// Order gives an order.
+	// Order sends an order to its endpoint.
 	Order(ctx context.Context, o Order) Outcome
 }
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -10,60 +10,60 @@
 )
 
 const (
-	// gatherFor is how long no endpoint may have appeared before the first groups are formed, if no request has
-	// come, and gatherAtMost bounds the wait.
-	gatherFor    = 900 * time.Millisecond
-	gatherAtMost = 5 * time.Second
-	// clearAfter is how long an endpoint may stay free before it is ordered to leave the group that has ended, and
-	// clearAgain the pause before the order is repeated.
-	clearAfter = 500 * time.Millisecond
-	clearAgain = 4 * time.Second
+	// gatherQuietPeriod is how long the number of endpoints must not have changed before the first groups are formed,
+	// if no request has come; gatherTimeout limits the wait.
+	gatherQuietPeriod = 900 * time.Millisecond
+	gatherTimeout     = 5 * time.Second
+	// staleMemberDelay is how long after the end of its group a free endpoint is ordered to leave it, and
+	// staleMemberRetry the interval at which the order is repeated.
+	staleMemberDelay = 500 * time.Millisecond
+	staleMemberRetry = 4 * time.Second
 )
 
-// form orders free endpoints into groups, the model that is furthest behind its share first.
+// form plans groups of free endpoints, for the model furthest behind its share of the endpoints first.
 func (p *Planner) form(v *View) {
-	if p.gathering(v) {
+	if p.awaitingEndpoints(v) {
 		return
 	}
 	free := p.freeByDomain(v)
-	have := p.assigned(v)
-	fits := make(fits)
-	for p.formOne(v, free, have, fits) { //nolint:revive // until there is none to order
+	have := p.assignedEndpoints(v)
+	fits := make(fitCache)
+	for p.formOne(v, free, have, fits) { //nolint:revive // nolint
 	}
-	p.clear(v, free)
+	p.clearStaleMembers(v, free)
 	p.convert(v, free, have)
 }
 
-// clear orders endpoints that stay free to leave the groups that have ended, so that a later leader, who does not
-// know of the end, need not wait for their heads.
-func (p *Planner) clear(v *View, free map[string][]*endpoint.Endpoint) {
+// clearStaleMembers orders endpoints that stay free to leave groups that have ended. A later leader does not know that
+// the group has ended and would otherwise have to wait for its head.
+func (p *Planner) clearStaleMembers(v *View, free map[string][]*endpoint.Endpoint) {
 	for _, list := range free {
 		for _, e := range list {
-			if e.Membership == nil || v.Now.Sub(p.ended[e.Membership.Group]) < clearAfter || v.Now.Sub(p.cleared[e.ID]) < clearAgain {
+			if e.Membership == nil || v.Now.Sub(p.ended[e.Membership.Group]) < staleMemberDelay || v.Now.Sub(p.leaveOrdered[e.ID]) < staleMemberRetry {
 				continue
 			}
-			p.cleared[e.ID] = v.Now
-			p.order(Order{Kind: Leave, Endpoint: e, Group: e.Membership.Group, Epoch: e.Membership.Epoch})
+			p.leaveOrdered[e.ID] = v.Now
+			p.addOrder(Order{Kind: Leave, Endpoint: e, Group: e.Membership.Group, Epoch: e.Membership.Epoch})
 		}
 	}
 }
 
-// gathering reports whether endpoints are still appearing before the first request: groups formed too soon would
-// all be of the model that needs fewest.
-func (p *Planner) gathering(v *View) bool {
-	if n := len(v.Snapshot.Services[v.Service.Name]); n != p.listed {
-		p.listed, p.listedAt = n, v.Now
+// awaitingEndpoints reports whether endpoints are still appearing before the first request: groups formed too early
+// would all be of the model that needs the fewest members.
+func (p *Planner) awaitingEndpoints(v *View) bool {
+	if n := len(v.Snapshot.Services[v.Service.Name]); n != p.endpointCount {
+		p.endpointCount, p.endpointCountChanged = n, v.Now
 	}
-	return !v.Busy && v.Now.Sub(p.listedAt) < gatherFor && v.Now.Sub(p.started) < gatherAtMost
+	return !v.Busy && v.Now.Sub(p.endpointCountChanged) < gatherQuietPeriod && v.Now.Sub(p.started) < gatherTimeout
 }
 
 func (p *Planner) freeByDomain(v *View) map[string][]*endpoint.Endpoint {
 	out := make(map[string][]*endpoint.Endpoint)
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
 		if c, asked := v.Contacts[e.ID]; asked && !c.Failed.IsZero() {
-			p.ask(e.ID) // it may have come back
+			p.requestProbe(e.ID) // it may be reachable again
 		}
-		if p.free(v, e) {
+		if p.isFree(v, e) {
 			out[e.Domain] = append(out[e.Domain], e)
 		}
 	}
@@ -73,9 +73,9 @@
 	return out
 }
 
-// assigned counts the endpoints in groups and plans by model. A group whose head is not listed gets no requests, so its
-// members serve nobody.
-func (p *Planner) assigned(v *View) map[string]int {
+// assignedEndpoints counts the endpoints in groups and plans by model. A group whose head is not listed gets no
+// requests, so its members are not counted.
+func (p *Planner) assignedEndpoints(v *View) map[string]int {
 	have := make(map[string]int)
 	for name, g := range v.Snapshot.Groups {
 		_, ended := p.ended[name]
@@ -89,24 +89,24 @@
 	return have
 }
 
-// formOne orders one group and reports whether there was one to order. While requests come, only a model in need
-// gets one: what stays free can replace a lost member of either, and an endpoint that changes its model forgets
-// the one before. Beside a model that is pressed another one gets what the pressed one cannot use soon, whether it
-// needs it or not: it can then give up members that the pressed one can use.
-func (p *Planner) formOne(v *View, free map[string][]*endpoint.Endpoint, have map[string]int, fits fits) bool {
-	models := p.byNeed(v, have)
+// formOne plans one group and reports whether there was one to plan. While requests arrive, only a model in need gets a
+// group: endpoints that stay free can replace a lost member of either model, and an endpoint that changes its model
+// evicts the previous one. While one model is under high pressure, the other model gets the endpoints that the first
+// cannot use soon, even if it is not in need: it can then give up members that the first model can use.
+func (p *Planner) formOne(v *View, free map[string][]*endpoint.Endpoint, have map[string]int, fits fitCache) bool {
+	models := p.modelsByNeed(v, have)
 	for i, m := range models {
-		usable, known := free, fits
+		usable, cache := free, fits
 		if v.Busy {
 			need := p.pressure(v, m, have)
 			switch {
-			case i > 0 && need < pressed && p.pressure(v, models[0], have) >= pressed:
-				usable, known = p.uselessFor(v, models[0], free, need >= relaxed), nil
-			case need < relaxed:
+			case i > 0 && need < highPressure && p.pressure(v, models[0], have) >= highPressure:
+				usable, cache = p.notUsableBy(v, models[0], free, need >= lowPressure), nil
+			case need < lowPressure:
 				return false
 			}
 		}
-		c := p.bestCandidate(v, usable, have, m, known)
+		c := p.bestCandidate(v, usable, have, m, cache)
 		if c == nil {
 			continue
 		}
@@ -114,20 +114,21 @@
 			delete(p.reserved, c.domain)
 		}
 		free[c.domain] = slices.DeleteFunc(free[c.domain], func(e *endpoint.Endpoint) bool { return slices.Contains(c.members, e) })
-		fits.forget(c.domain)
+		fits.invalidate(c.domain)
 		have[m.Name] += m.Size
-		p.plan(v, m.Name, c.members, c.within)
+		p.planGroup(v, m.Name, c.members, c.readyIn)
 		return true
 	}
 	return false
 }
 
-// uselessFor returns those of the free endpoints that would have to load the model from the weight store, and with
-// denied set also those of domains where the model could have a group but may not for what others would lose.
-func (p *Planner) uselessFor(v *View, m route.Model, free map[string][]*endpoint.Endpoint, denied bool) map[string][]*endpoint.Endpoint {
+// notUsableBy returns those free endpoints that would have to load the model from the weight store. With
+// includeRejected it also returns those of domains where a group of the model could be formed but was rejected for its
+// cost to other models.
+func (p *Planner) notUsableBy(v *View, m route.Model, free map[string][]*endpoint.Endpoint, includeRejected bool) map[string][]*endpoint.Endpoint {
 	out := make(map[string][]*endpoint.Endpoint, len(free))
 	for domain, list := range free {
-		if denied && p.fit(v, list, m) != nil {
+		if includeRejected && p.fit(v, list, m) != nil {
 			out[domain] = list
 			continue
 		}
--- a/internal/formation/order.go
+++ b/internal/formation/order.go
@@ -2,21 +2,21 @@
 
 import "moorrun.dev/moorrun/internal/endpoint"
 
-// Kind is what an order wants of an endpoint.
+// Kind is the action that an order requests.
 type Kind uint8
 
 const (
 	// Join makes the endpoint a member of a replica group.
 	Join Kind = iota + 1
-	// Open makes the head of a ready group take requests.
+	// Open makes the head of a ready group accept requests.
 	Open
-	// Leave ends the endpoint's membership at once.
+	// Leave ends the endpoint's membership in its group at once.
 	Leave
-	// Stage loads a model to the endpoint's host beside what it does.
+	// Stage loads a model onto the endpoint's host while the endpoint continues to serve.
 	Stage
 )
 
-// String returns a word for logs.
+// String returns the name used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Join:
@@ -32,38 +32,38 @@
 	}
 }
 
-// Order is one order to one endpoint. Joins are fenced by their epoch; the others name the group and epoch that
-// they touch, so that one carried out late does nothing to a later group.
+// Order is one order to one endpoint. Endpoints refuse joins with an epoch lower than one already seen. The other
+// orders name the group and epoch that they apply to, so that one carried out late does not affect a later group.
 type Order struct {
 	Kind     Kind
 	Endpoint *endpoint.Endpoint
 	Group    string
 	Epoch    int64
 	Model    string
-	Members  []string // IDs, the head first
-	Tenure   int64    // of the leader that gives it; endpoints that check fences refuse one lower than seen
+	Members  []string // endpoint IDs, the head first
+	Tenure   int64    // fencing token of the leader that sends it; endpoints that check it refuse a lower one than already seen
 }
 
-// Outcome is what is known about an order.
+// Outcome is the known result of an order.
 type Outcome uint8
 
 const (
-	// Taken means that the endpoint obeys or has obeyed.
+	// Taken means that the endpoint accepted the order.
 	Taken Outcome = iota + 1
 	// Refused means that the order does not fit the endpoint's state.
 	Refused
-	// Fenced means that the endpoint has seen a higher epoch or the order of a later leader. Nothing has changed.
+	// Fenced means that the endpoint has seen a higher epoch or an order of a later leader. Nothing has changed.
 	Fenced
-	// Elsewhere means that another endpoint has the address: the life that was meant is over.
+	// Elsewhere means that the address belongs to another endpoint: the intended one has ended.
 	Elsewhere
-	// Unknown means that the order may be carried out, perhaps much later.
+	// Unknown means that no answer came: the order may still be carried out, perhaps much later.
 	Unknown
 )
 
-// Declined reports whether the endpoint certainly does not obey.
+// Declined reports whether the endpoint certainly does not carry out the order.
 func (o Outcome) Declined() bool { return o == Refused || o == Fenced || o == Elsewhere }
 
-// String returns a word for logs.
+// String returns the name used in logs.
 func (o Outcome) String() string {
 	switch o {
 	case Taken:
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// joinGrace is what a join may take beyond its load.
+	// joinGrace is the time that a join may take in addition to its load.
 	joinGrace = 1200 * time.Millisecond
-	// openAgain is after how long the order to open is given again.
-	openAgain = 700 * time.Millisecond
-	// openWithin is how long a head that has taken the order to open may take until it is listed as open: 300 ms by the
-	// published figures, and as much as joinGrace for the listing to come.
-	openWithin = 300*time.Millisecond + joinGrace
+	// openRetryInterval is the interval at which the order to open is repeated.
+	openRetryInterval = 700 * time.Millisecond
+	// openTimeout is how long a head that has accepted the order to open may take until it is listed as open: 300 ms by
+	// the published figures, plus joinGrace for the listing to arrive.
+	openTimeout = 300*time.Millisecond + joinGrace
 )
 
-// plan is a group that this tenure has ordered its members into.
+// plan is a group whose members this tenure has ordered to join.
 type plan struct {
-	name     string
-	epoch    int64
-	model    string
-	members  []*endpoint.Endpoint // the head first
-	within   time.Duration        // it should be ready so long after the last member has taken the order to join
-	until    time.Time            // it is given up then
-	joined   map[string]bool      // members that have taken that order
-	openedAt time.Time            // the order to open was last given; zero if never
-	refused  bool                 // a member will not join
-	ready    bool                 // all members were seen ready
+	name          string
+	epoch         int64
+	model         string
+	members       []*endpoint.Endpoint // the head first
+	readyTimeout  time.Duration        // time to become ready after the last member has accepted its join
+	deadline      time.Time            // the plan is abandoned after this time
+	joined        map[string]bool      // members that have accepted their join
+	openOrderedAt time.Time            // time of the last order to open; zero if none was sent
+	refused       bool                 // a member has declined its join
+	ready         bool                 // all members have been seen ready
 }
 
-// joinTaken notes that a member has taken the order to join. The time to be ready begins when the last one has: where the
-// leader or a member is slow, a plan that was given up as it was about to open kept its members from serving for three more
-// seconds, and made the leader slower still.
-func (p *plan) joinTaken(id string, now time.Time) {
+// recordJoin records that a member has accepted its join. The ready timeout starts at the last one: with a slow leader
+// or member, a plan abandoned just before it opened kept its members from serving for three more seconds and slowed the
+// leader further.
+func (p *plan) recordJoin(id string, now time.Time) {
 	p.joined[id] = true
 	if len(p.joined) == len(p.members) {
-		p.allow(now.Add(p.within))
+		p.extendDeadline(now.Add(p.readyTimeout))
 	}
 }
 
-// allow puts off the time at which the plan is given up.
-func (p *plan) allow(until time.Time) {
-	if until.After(p.until) {
-		p.until = until
+// extendDeadline moves the deadline to the given time if that is later.
+func (p *plan) extendDeadline(until time.Time) {
+	if until.After(p.deadline) {
+		p.deadline = until
 	}
 }
 
-func (p *plan) ids() []string {
+func (p *plan) memberIDs() []string {
 	out := make([]string, len(p.members))
 	for i, m := range p.members {
 		out[i] = m.ID
@@ -55,65 +55,65 @@
 	return out
 }
 
-// followPlans opens what is ready and gives up what cannot become ready.
-func (p *Planner) followPlans(v *View) {
+// advancePlans opens groups that are ready and abandons plans that cannot become ready.
+func (p *Planner) advancePlans(v *View) {
 	for name, pl := range p.plans {
 		g := v.Snapshot.Groups[name]
 		if g != nil && g.Epoch == pl.epoch && g.Ready(len(pl.members)) {
 			pl.ready = true
 		}
 		if pl.ready && g != nil && g.Head != nil && g.Head.Membership.State == endpoint.Open {
-			p.drop(pl) // from here on it is a running group
+			p.dropPlan(pl) // the group is running now
 			continue
 		}
-		if reason := p.hopeless(v, pl, g); reason != "" {
-			p.giveUp(v, pl, reason)
+		if reason := p.failureReason(v, pl, g); reason != "" {
+			p.abandonPlan(v, pl, reason)
 			continue
 		}
-		if pl.ready && v.Now.Sub(pl.openedAt) >= openAgain {
-			pl.openedAt = v.Now
-			p.order(Order{Kind: Open, Endpoint: pl.members[0], Group: name, Epoch: pl.epoch})
+		if pl.ready && v.Now.Sub(pl.openOrderedAt) >= openRetryInterval {
+			pl.openOrderedAt = v.Now
+			p.addOrder(Order{Kind: Open, Endpoint: pl.members[0], Group: name, Epoch: pl.epoch})
 		}
 	}
 }
 
-// drop forgets a plan.
-func (p *Planner) drop(pl *plan) {
+// dropPlan removes a plan from the planner's records.
+func (p *Planner) dropPlan(pl *plan) {
 	delete(p.plans, pl.name)
-	p.bonds.unplan(pl)
+	p.commitments.removePlan(pl)
 }
 
-// hopeless returns why the plan will not become a running group, or nothing.
-func (p *Planner) hopeless(v *View, pl *plan, g *endpoint.Group) string {
+// failureReason returns why the plan cannot become a running group, or "".
+func (p *Planner) failureReason(v *View, pl *plan, g *endpoint.Group) string {
 	if pl.refused {
-		return "a member refused"
+		return "a member refused to join"
 	}
 	for _, m := range pl.members {
 		e, listed := v.Snapshot.Endpoints[m.ID]
 		switch {
 		case !listed:
-			return "a member is not listed any more"
+			return "a member is no longer listed"
 		case e.Draining:
 			return "a member is leaving"
 		case v.down(m.ID):
 			return "a member does not answer"
 		}
 	}
-	if v.Now.After(pl.until) {
-		p.ask(pl.ids()...) // so that who does not answer is left out of the next plan
+	if v.Now.After(pl.deadline) {
+		p.requestProbe(pl.memberIDs()...) // the next plan leaves out members that do not answer
 		if g != nil && g.Head != nil && g.Head.Membership.State == endpoint.Broken {
 			return "the head is broken"
 		}
-		return "it took too long"
+		return "the group did not become ready in time"
 	}
 	return ""
 }
 
-// giveUp frees the members of a plan. Once the order to open may have been given the head has to leave first.
-func (p *Planner) giveUp(v *View, pl *plan, reason string) {
-	p.drop(pl)
-	p.note("plan given up", pl.name, "reason", reason, "opened", !pl.openedAt.IsZero())
-	if pl.openedAt.IsZero() {
+// abandonPlan frees the members of a plan. If the order to open may have been sent, the head has to leave first.
+func (p *Planner) abandonPlan(v *View, pl *plan, reason string) {
+	p.dropPlan(pl)
+	p.note("plan given up", pl.name, "reason", reason, "opened", !pl.openOrderedAt.IsZero())
+	if pl.openOrderedAt.IsZero() {
 		p.ended[pl.name] = v.Now
 		return
 	}
--- a/internal/formation/planner.go
+++ b/internal/formation/planner.go
@@ -1,8 +1,9 @@
-// Package formation decides which endpoints form which replica group. It does no I/O and reads no clock.
+// Package formation decides which endpoints form which replica group. The Planner does no I/O and reads no clock; the
+// Controller carries out its decisions.
 //
-// Safety does not rest on there being one leader. Every group has a name and an epoch of its own; epochs carry
-// the leader's tenure and only grow, so an endpoint that has taken a later join refuses an earlier one. A group
-// is opened only after every member was seen ready in it, and its members join others only once its head has
+// Safety does not depend on there being a single leader. Every group has its own name and epoch. Epochs contain the
+// leader's tenure and only grow, so an endpoint that has accepted a later join refuses an earlier one. A group is
+// opened only after every member has been seen ready in it, and its members join other groups only after its head has
 // left, is broken or is dead.
 package formation
 
@@ -14,53 +15,53 @@
 )
 
 const (
-	// tenureStep is how many groups one tenure can name.
-	tenureStep = 1 << 20
-	// forgetAfter is how long ended groups are remembered.
-	forgetAfter = 2 * time.Minute
-	// tellLostFor is how long the other nodes are told of a group that has lost a member.
-	tellLostFor = 3 * time.Second
+	// maxGroupsPerTenure is the number of group epochs reserved for one tenure.
+	maxGroupsPerTenure = 1 << 20
+	// endedGroupRetention is how long ended groups are remembered.
+	endedGroupRetention = 2 * time.Minute
+	// lostGroupRetention is how long a group that has lost a member is reported to the other nodes.
+	lostGroupRetention = 3 * time.Second
 )
 
-// Planner plans the groups of one service during one tenure of the leader.
+// Planner plans the replica groups of one service during one tenure of the leader.
 type Planner struct {
 	tenure  int64
 	counter int64
 	started time.Time
 
-	plans     map[string]*plan
-	retiring  map[string]*retirement
-	bonds     bonds                  // what the plans and retirements bind
-	reached   reached                // by conversions
-	keeping   capability             // counted once a step, when it is first asked for; nil before
-	ended     map[string]time.Time   // groups whose members are free
-	lostAt    map[string]time.Time   // groups found to have lost a member
-	strangers map[string]time.Time   // first sight of groups of earlier tenures
-	complete  map[string]bool        // groups seen with all members ready
-	stagings  map[string]staging     // by endpoint ID
-	surveyed  map[string]bool        // endpoints that have told whether an earlier leader's load is under way
-	loads     []time.Time            // begun during this tenure
-	converted time.Time              // last time a group was ended for another model
-	cleared   map[string]time.Time   // last order to a free endpoint to leave, by ID
-	reserved  map[string]reservation // by domain
-	demand    map[string]float64     // requests by model, a running mean
-	readers   map[string]float64     // replica groups that can read a model's prompts in time, at the least
-
-	listed   int       // endpoints of the service at the last step
-	listedAt time.Time // when that number last changed
-	told     time.Time // last summary
-	orders   []Order
-	asked    map[string]bool
-	// Note is called with each decision; pairs are names and values.
+	plans             map[string]*plan
+	retiring          map[string]*retirement
+	commitments       commitments            // endpoints involved in plans and retirements
+	conversionDomains domainSelection        // domains whose members should have a second model
+	copies            modelCopies            // computed on first use in each step; nil before
+	ended             map[string]time.Time   // time of the end, by group; their members are free
+	lostAt            map[string]time.Time   // when a group was last found to have lost a member, by group
+	firstSeen         map[string]time.Time   // when a group that no plan covers was first seen, by group
+	seenComplete      map[string]bool        // groups that were seen with all members ready
+	stagings          map[string]staging     // by endpoint ID
+	surveyed          map[string]bool        // endpoints that have answered whether they carry out a load for an earlier leader
+	loadStarts        []time.Time            // loads ordered during this tenure
+	lastConversion    time.Time              // when groups were last ended for another model
+	leaveOrdered      map[string]time.Time   // last order to leave sent to a free endpoint, by endpoint ID
+	reserved          map[string]reservation // by domain
+	demand            map[string]float64     // moving average of requests, by model
+	prefillGroups     map[string]float64     // least number of replica groups that can read a model's prompts in time, by model
+
+	endpointCount        int       // endpoints of the service at the last step
+	endpointCountChanged time.Time // when endpointCount last changed
+	lastSummary          time.Time // when the last summary was logged
+	orders               []Order
+	toProbe              map[string]bool
+	// Note is called with each decision; pairs are alternating keys and values.
 	Note func(event, group string, pairs ...any)
 }
 
-// NewPlanner returns a Planner for a tenure, whose number must be higher than that of any leader before.
+// NewPlanner returns a Planner for a tenure, whose number must be higher than that of any earlier leader.
 func NewPlanner(tenure int64, now time.Time) *Planner {
 	return &Planner{
-		tenure: tenure, started: now, plans: make(map[string]*plan), retiring: make(map[string]*retirement), bonds: newBonds(),
-		ended: make(map[string]time.Time), lostAt: make(map[string]time.Time), strangers: make(map[string]time.Time), complete: make(map[string]bool),
-		stagings: make(map[string]staging), surveyed: make(map[string]bool), asked: make(map[string]bool), demand: make(map[string]float64), readers: make(map[string]float64), reserved: make(map[string]reservation), cleared: make(map[string]time.Time),
+		tenure: tenure, started: now, plans: make(map[string]*plan), retiring: make(map[string]*retirement), commitments: newCommitments(),
+		ended: make(map[string]time.Time), lostAt: make(map[string]time.Time), firstSeen: make(map[string]time.Time), seenComplete: make(map[string]bool),
+		stagings: make(map[string]staging), surveyed: make(map[string]bool), toProbe: make(map[string]bool), demand: make(map[string]float64), prefillGroups: make(map[string]float64), reserved: make(map[string]reservation), leaveOrdered: make(map[string]time.Time),
 	}
 }
 
@@ -70,40 +71,40 @@
 	}
 }
 
-func (p *Planner) order(o Order) {
+func (p *Planner) addOrder(o Order) {
 	o.Tenure = p.tenure
 	p.orders = append(p.orders, o)
 }
 
-func (p *Planner) ask(ids ...string) {
+func (p *Planner) requestProbe(ids ...string) {
 	for _, id := range ids {
-		p.asked[id] = true
+		p.toProbe[id] = true
 	}
 }
 
-// Step returns the orders that are due and the endpoints to be asked directly. Nothing is decided on a view from
-// before the tenure: what the leader before ordered last would not show in it.
-func (p *Planner) Step(v *View) (orders []Order, ask []string) {
-	p.orders, p.keeping = nil, nil
-	clear(p.asked)
+// Step returns the orders to send and the endpoints to probe. It decides nothing on a view from before the tenure,
+// which may not show the last orders of the previous leader.
+func (p *Planner) Step(v *View) (orders []Order, probe []string) {
+	p.orders, p.copies = nil, nil
+	clear(p.toProbe)
 	if v.AsOf.Before(p.started) {
 		return nil, nil
 	}
-	p.measure(v)
-	p.followPlans(v)
+	p.updateDemand(v)
+	p.advancePlans(v)
 	p.reviewGroups(v)
-	p.followRetirements(v)
+	p.advanceRetirements(v)
 	p.form(v)
-	p.stage(v)
-	p.forget(v)
+	p.stageModels(v)
+	p.expireRecords(v)
 	p.summarise(v)
-	for id := range p.asked {
-		ask = append(ask, id)
+	for id := range p.toProbe {
+		probe = append(probe, id)
 	}
-	return p.orders, ask
+	return p.orders, probe
 }
 
-// Retiring returns the groups that are to get no new requests.
+// Retiring returns the groups that must get no new requests.
 func (p *Planner) Retiring() []string {
 	out := make([]string, 0, len(p.retiring))
 	for name := range p.retiring {
@@ -112,7 +113,7 @@
 	return out
 }
 
-// Lost returns the groups that have lately been found to have lost a member: nothing more comes from them.
+// Lost returns the groups that were recently found to have lost a member. They produce no more output.
 func (p *Planner) Lost() []string {
 	out := make([]string, 0, len(p.lostAt))
 	for name := range p.lostAt {
@@ -121,8 +122,8 @@
 	return out
 }
 
-// Result takes in what became of an order.
-func (p *Planner) Result(o Order, outcome Outcome, now time.Time) {
+// RecordOutcome updates the plans, retirements and loads with the outcome of an order.
+func (p *Planner) RecordOutcome(o Order, outcome Outcome, now time.Time) {
 	switch o.Kind {
 	case Join:
 		pl := p.plans[o.Group]
@@ -131,31 +132,31 @@
 		case outcome.Declined():
 			pl.refused = true
 		case outcome == Taken:
-			pl.joinTaken(o.Endpoint.ID, now)
+			pl.recordJoin(o.Endpoint.ID, now)
 		}
 	case Leave:
 		if _, ok := p.retiring[o.Group]; ok && (outcome == Taken || outcome == Refused) {
-			p.release(o.Group)
+			p.removeRetirement(o.Group)
 			p.ended[o.Group] = now
 			p.note("group ended", o.Group, "reason", "leave "+outcome.String())
 		}
 	case Stage:
 		switch {
-		case outcome == Refused: // it is loading something else
+		case outcome == Refused: // the endpoint is loading something else
 			p.stagings[o.Endpoint.ID] = staging{since: now, until: p.stagings[o.Endpoint.ID].until}
 		case outcome.Declined():
 			delete(p.stagings, o.Endpoint.ID)
 		}
 	case Open:
 		if pl := p.plans[o.Group]; pl != nil && outcome == Taken {
-			pl.allow(now.Add(openWithin))
+			pl.extendDeadline(now.Add(openTimeout))
 		}
 	}
 }
 
-// free reports whether the endpoint may be ordered into a new group.
-func (p *Planner) free(v *View, e *endpoint.Endpoint) bool {
-	if e.Draining || p.bonds.holds(e.ID) || v.down(e.ID) {
+// isFree reports whether the endpoint may be ordered into a new group.
+func (p *Planner) isFree(v *View, e *endpoint.Endpoint) bool {
+	if e.Draining || p.commitments.contains(e.ID) || v.down(e.ID) {
 		return false
 	}
 	if e.Membership == nil {
@@ -165,42 +166,42 @@
 	return ended
 }
 
-// plan orders the members into a new group.
-func (p *Planner) plan(v *View, model string, members []*endpoint.Endpoint, within time.Duration) {
+// planGroup orders the members to join a new group.
+func (p *Planner) planGroup(v *View, model string, members []*endpoint.Endpoint, readyTimeout time.Duration) {
 	p.counter++
 	pl := &plan{
-		epoch: p.tenure*tenureStep + p.counter, model: model, members: members, within: within, until: v.Now.Add(within), joined: make(map[string]bool),
+		epoch: p.tenure*maxGroupsPerTenure + p.counter, model: model, members: members, readyTimeout: readyTimeout, deadline: v.Now.Add(readyTimeout), joined: make(map[string]bool),
 	}
 	pl.name = fmt.Sprintf("r%d-%d", p.tenure, p.counter)
 	p.plans[pl.name] = pl
-	p.bonds.plan(pl)
-	p.keeping.forget(v, pl)
-	p.note("group planned", pl.name, "model", model, "members", pl.ids(), "epoch", pl.epoch, "within_ms", within.Milliseconds())
+	p.commitments.addPlan(pl)
+	p.copies.removeEvicted(v, pl)
+	p.note("group planned", pl.name, "model", model, "members", pl.memberIDs(), "epoch", pl.epoch, "within_ms", readyTimeout.Milliseconds())
 	for _, m := range members {
-		p.order(Order{Kind: Join, Endpoint: m, Group: pl.name, Epoch: pl.epoch, Model: model, Members: pl.ids()})
+		p.addOrder(Order{Kind: Join, Endpoint: m, Group: pl.name, Epoch: pl.epoch, Model: model, Members: pl.memberIDs()})
 	}
 }
 
-func (p *Planner) forget(v *View) {
+func (p *Planner) expireRecords(v *View) {
 	for name, at := range p.ended {
-		if v.Now.Sub(at) > forgetAfter && v.Snapshot.Groups[name] == nil {
+		if v.Now.Sub(at) > endedGroupRetention && v.Snapshot.Groups[name] == nil {
 			delete(p.ended, name)
 		}
 	}
 	for name, at := range p.lostAt {
-		if v.Now.Sub(at) > tellLostFor {
+		if v.Now.Sub(at) > lostGroupRetention {
 			delete(p.lostAt, name)
 		}
 	}
-	for id := range p.cleared {
+	for id := range p.leaveOrdered {
 		if v.Snapshot.Endpoints[id] == nil {
-			delete(p.cleared, id)
+			delete(p.leaveOrdered, id)
 		}
 	}
-	for name := range p.strangers {
+	for name := range p.firstSeen {
 		if v.Snapshot.Groups[name] == nil {
-			delete(p.strangers, name)
-			delete(p.complete, name)
+			delete(p.firstSeen, name)
+			delete(p.seenComplete, name)
 		}
 	}
 }
--- a/internal/formation/reach.go
+++ b/internal/formation/reach.go
@@ -12,39 +12,41 @@
 	"moorrun.dev/moorrun/internal/route"
 )
 
-// reachMargin is how many times as many endpoints keep a second model as conversions could take in the time of a load: groups
-// that end should be ones with few requests, so there has to be a choice. Other values have not been tried.
-const reachMargin = 2
+// conversionMargin is the ratio of endpoints that have a second model to endpoints that conversions could use during
+// one load. Conversions should end groups with few requests, so there has to be a choice. Other values have not been
+// tried.
+const conversionMargin = 2
 
-// reach is how many members of groups should keep a second model while no model is in need. A conversion comes each convertEvery
-// at the most, so of a large fleet only some hundred endpoints can change their model before a load that is ordered when the
-// need shows has ended: orders for the rest, one for each endpoint of a fleet of any size, would buy nothing.
-func reach(e *route.Engine) int {
+// convertibleEndpoints returns how many group members should have a second model while no model is in need. Conversions
+// are at least conversionInterval apart, so even in a large fleet only some hundred endpoints can change their model
+// before a load ordered when the need arises has ended. Giving every endpoint of a large fleet a second model would
+// have no benefit.
+func convertibleEndpoints(e *route.Engine) int {
 	load, size := time.Duration(0), 0
 	for _, m := range e.Models {
 		load, size = max(load, m.Load), max(size, m.Size)
 	}
-	return reachMargin * int(load/convertEvery) * size
+	return conversionMargin * int(load/conversionInterval) * size
 }
 
-// reached is the fabric domains whose members should keep a second model.
-type reached struct {
-	domains   map[string]bool
-	endpoints int // listed when they were drawn
+// domainSelection is the set of fabric domains whose members should have a second model.
+type domainSelection struct {
+	domains       map[string]bool
+	endpointCount int // endpoints listed when the domains were selected
 }
 
-// withinReach returns the fabric domains whose members should keep a second model: as many as conversions can reach, whole ones,
-// because a group is formed within one, and drawn by hash, so that they spread over the data centres. They are drawn anew when
-// endpoints have come or gone.
-func (p *Planner) withinReach(v *View) map[string]bool {
+// selectedDomains returns the fabric domains whose members should have a second model, enough for the endpoints that
+// conversions can use. They are whole domains, because a group is formed within one, and are selected by hash, so that
+// they spread over the data centres. They are selected again when the number of endpoints changes.
+func (p *Planner) selectedDomains(v *View) map[string]bool {
 	listed := v.Snapshot.Services[v.Service.Name]
-	if p.reached.endpoints != len(listed) {
-		p.reached = reached{drawReached(listed, reach(v.Service.Engine)), len(listed)}
+	if p.conversionDomains.endpointCount != len(listed) {
+		p.conversionDomains = domainSelection{selectDomains(listed, convertibleEndpoints(v.Service.Engine)), len(listed)}
 	}
-	return p.reached.domains
+	return p.conversionDomains.domains
 }
 
-func drawReached(listed []*endpoint.Endpoint, wanted int) map[string]bool {
+func selectDomains(listed []*endpoint.Endpoint, wanted int) map[string]bool {
 	members := make(map[string]int)
 	for _, e := range listed {
 		members[e.Domain]++
@@ -63,8 +65,8 @@
 	return out
 }
 
-// inNeed reports whether any model needs more groups.
-func (p *Planner) inNeed(v *View) bool {
-	have := p.assigned(v)
-	return slices.ContainsFunc(v.Service.Engine.Models, func(m route.Model) bool { return p.pressure(v, m, have) >= relaxed })
+// anyModelInNeed reports whether any model needs more groups.
+func (p *Planner) anyModelInNeed(v *View) bool {
+	have := p.assignedEndpoints(v)
+	return slices.ContainsFunc(v.Service.Engine.Models, func(m route.Model) bool { return p.pressure(v, m, have) >= lowPressure })
 }
--- a/internal/formation/retirement.go
+++ b/internal/formation/retirement.go
@@ -7,59 +7,61 @@
 )
 
 const (
-	// leaveAgain is after how long the order to leave is given again.
-	leaveAgain = 600 * time.Millisecond
-	// finishFor is how long the requests of a group with a leaving member may take to finish.
-	finishFor = 1700 * time.Millisecond
+	// leaveRetryInterval is the interval at which the order to leave is repeated.
+	leaveRetryInterval = 600 * time.Millisecond
+	// drainTimeout is how long the requests of a group may take to finish if a member is leaving or its members are
+	// needed for another model.
+	drainTimeout = 1700 * time.Millisecond
 )
 
-// retirement is a group on its way out. Its members are free once its head has left, is broken or is dead:
-// until then the head may take requests.
+// retirement is a group that is being ended. Its members are free once its head has left, is broken or is dead; until
+// then the head may accept requests.
 type retirement struct {
-	name   string
-	epoch  int64
-	head   *endpoint.Endpoint
-	since  time.Time
-	finish time.Time // requests may finish until then
-	leftAt time.Time // the order to leave was last given
+	name           string
+	epoch          int64
+	head           *endpoint.Endpoint
+	since          time.Time
+	drainDeadline  time.Time // requests may finish until then
+	leaveOrderedAt time.Time // time of the last order to leave
 }
 
-// retire starts to end a group, giving its requests some time to finish.
-func (p *Planner) retire(v *View, name string, epoch int64, head *endpoint.Endpoint, reason string, finish time.Duration) {
+// retire starts to end a group, giving its requests drainTime to finish. If the group retires already, it can only
+// shorten that time.
+func (p *Planner) retire(v *View, name string, epoch int64, head *endpoint.Endpoint, reason string, drainTime time.Duration) {
 	if _, done := p.ended[name]; done {
 		return
 	}
 	if r, ok := p.retiring[name]; ok {
-		if until := v.Now.Add(finish); until.Before(r.finish) {
-			r.finish = until
+		if until := v.Now.Add(drainTime); until.Before(r.drainDeadline) {
+			r.drainDeadline = until
 		}
 		return
 	}
 	p.note("group retires", name, "reason", reason, "head", head.ID)
-	p.bonds.retire(head.ID)
-	p.retiring[name] = &retirement{name: name, epoch: epoch, head: head, since: v.Now, finish: v.Now.Add(finish)}
+	p.commitments.addRetirement(head.ID)
+	p.retiring[name] = &retirement{name: name, epoch: epoch, head: head, since: v.Now, drainDeadline: v.Now.Add(drainTime)}
 }
 
-// followRetirements orders heads to leave and notes which have left.
-func (p *Planner) followRetirements(v *View) {
+// advanceRetirements orders heads to leave and frees the members of groups whose head no longer serves.
+func (p *Planner) advanceRetirements(v *View) {
 	for name, r := range p.retiring {
-		if reason := p.over(v, r); reason != "" {
-			p.end(v, name, reason)
+		if reason := p.endReason(v, r); reason != "" {
+			p.endGroup(v, name, reason)
 			continue
 		}
-		if v.Now.Before(r.finish) && v.Loads[r.head.ID] > 0 && !v.down(r.head.ID) {
+		if v.Now.Before(r.drainDeadline) && v.Loads[r.head.ID] > 0 && !v.down(r.head.ID) {
 			continue
 		}
-		if v.Now.Sub(r.leftAt) >= leaveAgain {
-			r.leftAt = v.Now
-			p.order(Order{Kind: Leave, Endpoint: r.head, Group: name, Epoch: r.epoch})
-			p.ask(r.head.ID)
+		if v.Now.Sub(r.leaveOrderedAt) >= leaveRetryInterval {
+			r.leaveOrderedAt = v.Now
+			p.addOrder(Order{Kind: Leave, Endpoint: r.head, Group: name, Epoch: r.epoch})
+			p.requestProbe(r.head.ID)
 		}
 	}
 }
 
-// over returns why the group certainly does not serve any more, or nothing.
-func (p *Planner) over(v *View, r *retirement) string {
+// endReason returns why the group certainly no longer serves, or "".
+func (p *Planner) endReason(v *View, r *retirement) string {
 	e, listed := v.Snapshot.Endpoints[r.head.ID]
 	switch {
 	case listed && e.Revision > r.head.Revision && (e.Membership == nil || e.Membership.Group != r.name):
@@ -73,16 +75,16 @@
 	}
 }
 
-// release forgets a retirement, if there is one.
-func (p *Planner) release(name string) {
+// removeRetirement removes the retirement of a group, if there is one.
+func (p *Planner) removeRetirement(name string) {
 	if r, ok := p.retiring[name]; ok {
 		delete(p.retiring, name)
-		p.bonds.release(r.head.ID)
+		p.commitments.removeRetirement(r.head.ID)
 	}
 }
 
-func (p *Planner) end(v *View, name, reason string) {
-	p.release(name)
+func (p *Planner) endGroup(v *View, name, reason string) {
+	p.removeRetirement(name)
 	p.ended[name] = v.Now
 	p.note("group ended", name, "reason", reason)
 }
--- a/internal/formation/spare.go
+++ b/internal/formation/spare.go
@@ -5,85 +5,85 @@
 	"moorrun.dev/moorrun/internal/route"
 )
 
-// stageOthers gives members of groups the model that they do not run, as many as conversions can reach, and what no group has
-// taken a first one.
-func (p *Planner) stageOthers(v *View) {
+// stageBeforeTraffic stages a second model for group members, as many as conversions can use, and a first model for
+// endpoints without one.
+func (p *Planner) stageBeforeTraffic(v *View) {
 	p.stageCold(v)
-	within := p.withinReach(v)
+	within := p.selectedDomains(v)
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if e.Membership == nil || !within[e.Domain] || !p.oneSided(e) {
+		if e.Membership == nil || !within[e.Domain] || !p.canTakeSecondModel(e) {
 			continue
 		}
 		for _, m := range v.Service.Engine.Models {
 			if !e.Holds(m.Name) {
-				p.stageOne(v, e, m)
+				p.stageModel(v, e, m)
 				break
 			}
 		}
 	}
 }
 
-// stageCold gives a first model to the endpoints that no group has taken and that have none.
+// stageCold stages a first model for the free endpoints that have none.
 func (p *Planner) stageCold(v *View) {
 	var cold []*endpoint.Endpoint
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if p.cold(v, e) {
+		if p.isCold(v, e) {
 			cold = append(cold, e)
 		}
 	}
 	if len(cold) == 0 {
-		return // the counts below look at every endpoint and plan
+		return // the counts below visit every endpoint and plan
 	}
 	members, spares := p.membersByDomain(v), p.sparesByDomain(v)
 	for _, e := range cold {
 		if m, found := spareModel(v, members[e.Domain], spares[e.Domain]); found {
-			p.stageOne(v, e, m)
-			count(spares, e.Domain, m.Name, 1)
+			p.stageModel(v, e, m)
+			addCount(spares, e.Domain, m.Name, 1)
 		}
 	}
 }
 
-// membersByDomain counts the members of groups and plans by domain and model.
+// membersByDomain counts the members of groups and plans, by domain and model.
 func (p *Planner) membersByDomain(v *View) map[string]map[string]int {
 	out := make(map[string]map[string]int)
 	for name, g := range v.Snapshot.Groups {
 		if g.Service == v.Service.Name && p.plans[name] == nil {
-			count(out, g.Domain, g.Model, len(g.Members))
+			addCount(out, g.Domain, g.Model, len(g.Members))
 		}
 	}
 	for _, pl := range p.plans {
-		count(out, pl.members[0].Domain, pl.model, len(pl.members))
+		addCount(out, pl.members[0].Domain, pl.model, len(pl.members))
 	}
 	return out
 }
 
-// sparesByDomain counts the endpoints in no group by domain and the model that they have, or are being given.
+// sparesByDomain counts the free endpoints by domain and by the models that they have or are being given.
 func (p *Planner) sparesByDomain(v *View) map[string]map[string]int {
 	out := make(map[string]map[string]int)
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if !p.free(v, e) {
+		if !p.isFree(v, e) {
 			continue
 		}
 		for _, m := range v.Service.Engine.Models {
 			if e.Holds(m.Name) || e.HasStaged(m.Name) || p.stagings[e.ID].model == m.Name {
-				count(out, e.Domain, m.Name, 1)
+				addCount(out, e.Domain, m.Name, 1)
 			}
 		}
 	}
 	return out
 }
 
-// count adds to a number by domain and model.
-func count(numbers map[string]map[string]int, domain, model string, n int) {
+// addCount adds n to the number for the domain and model.
+func addCount(numbers map[string]map[string]int, domain, model string, n int) {
 	if numbers[domain] == nil {
 		numbers[domain] = make(map[string]int)
 	}
 	numbers[domain][model] += n
 }
 
-// spareModel returns the model that one more spare of a domain should hold: the one for which the loss of a member idles
-// the most others, by how many members there are to be lost and how many spares have the model already. With one model
-// for all spares of a domain every loss of another model's member waited for a load, 12 s and more.
+// spareModel returns the model that one more spare of a domain should have: the one for which the loss of a member
+// idles the most other members, weighted by the number of members and divided among the spares that have the model.
+// With one model for all spares of a domain, every loss of another model's member had to wait 12 s or more for a load.
 func spareModel(v *View, members, spares map[string]int) (best route.Model, found bool) {
 	most := 0.0
 	for _, m := range v.Service.Engine.Models {
--- a/internal/formation/stage.go
+++ b/internal/formation/stage.go
@@ -10,66 +10,66 @@
 )
 
 const (
-	// stagePart is the part of the weight store's rate that is used.
-	stagePart = 0.5
-	// stageGrace is what staging may take beyond the load.
+	// maxLoadRateFraction is the fraction of the weight store's load rate that is used.
+	maxLoadRateFraction = 0.5
+	// stageGrace is the time that staging may take in addition to the load.
 	stageGrace = 4 * time.Second
-	// settle is how long a new tenure starts no loads: the one before may have.
-	settle = time.Second
+	// firstLoadDelay is how long a new tenure orders no loads or conversions: the previous one may just have done so.
+	firstLoadDelay = time.Second
 )
 
-// staging is a model being loaded to an endpoint's host.
+// staging is a model being loaded onto an endpoint's host.
 type staging struct {
-	model string    // empty if it is not known: an earlier leader has ordered it
-	since time.Time // it was ordered, or found to be under way
-	until time.Time // it should have ended by then
+	model string    // empty if unknown, because an earlier leader ordered it
+	since time.Time // when it was ordered or found to be in progress
+	until time.Time // when it should have ended
 }
 
-// stage loads models to hosts: before any request has come the other model to the hosts that conversions can reach, so that
-// these endpoints can soon serve either; later what a domain lacks for a group of the model in need, then a first model to free
-// endpoints that hold none, and then the other model to those that have forgotten it.
-func (p *Planner) stage(v *View) {
+// stageModels loads models onto hosts. Before the first request it stages a second model for the endpoints that
+// conversions can use, so that they can soon serve either. Later it stages what a domain lacks for a group of a model
+// in need, then a first model for free endpoints without one, and then a second model for endpoints that have only one.
+func (p *Planner) stageModels(v *View) {
 	if !v.Busy {
-		p.followStagings(v)
-		p.stageOthers(v)
+		p.updateStagings(v)
+		p.stageBeforeTraffic(v)
 		return
 	}
 	p.survey(v)
-	running := p.followStagings(v)
-	for _, c := range p.completions(v) {
-		for _, e := range c.from[:c.missing] {
-			if _, busy := p.stagings[e.ID]; !busy && !p.stageWithin(v, &running, e, c.model) {
+	running := p.updateStagings(v)
+	for _, c := range p.shortfalls(v) {
+		for _, e := range c.loadable[:c.missing] {
+			if _, busy := p.stagings[e.ID]; !busy && !p.stageIfAllowed(v, &running, e, c.model) {
 				return
 			}
 		}
 	}
-	for _, l := range p.forCold(v) {
-		if !p.stageWithin(v, &running, l.endpoint, l.model) {
+	for _, l := range p.coldTargets(v) {
+		if !p.stageIfAllowed(v, &running, l.endpoint, l.model) {
 			return
 		}
 	}
-	for _, l := range p.forOneSided(v) {
-		if !p.stageWithin(v, &running, l.endpoint, l.model) {
+	for _, l := range p.secondModelTargets(v) {
+		if !p.stageIfAllowed(v, &running, l.endpoint, l.model) {
 			return
 		}
 	}
 }
 
-// load is a model that an endpoint's host could be given.
-type load struct {
+// stageTarget is an endpoint and a model that could be staged on its host.
+type stageTarget struct {
 	endpoint *endpoint.Endpoint
 	model    route.Model
 }
 
-// loading reports whether a model is being loaded to the endpoint's host. A join to a model from the host waits for
-// that; one to the model that the endpoint holds does not.
-func (p *Planner) loading(e *endpoint.Endpoint) bool {
+// isLoading reports whether a model is being loaded onto the endpoint's host. A join that uses a staged model waits for
+// that load; a join that uses the model the endpoint already holds does not.
+func (p *Planner) isLoading(e *endpoint.Endpoint) bool {
 	_, busy := p.stagings[e.ID]
 	return busy
 }
 
-// followStagings forgets the loads that have ended and returns how many are under way.
-func (p *Planner) followStagings(v *View) int {
+// updateStagings removes the loads that have ended and returns how many are in progress.
+func (p *Planner) updateStagings(v *View) int {
 	for id, s := range p.stagings {
 		e := v.Snapshot.Endpoints[id]
 		if e == nil || e.HasStaged(s.model) || v.Now.After(s.until) {
@@ -84,66 +84,66 @@
 			delete(p.stagings, id)
 			continue
 		}
-		if v.Now.Sub(c.Answered) > surveyAgain {
-			p.ask(id)
+		if v.Now.Sub(c.Answered) > surveyRetryInterval {
+			p.requestProbe(id)
 		}
 	}
 	return len(p.stagings)
 }
 
-// stageWithin loads the model to the endpoint's host and reports true, unless enough loads are running.
-func (p *Planner) stageWithin(v *View, running *int, e *endpoint.Endpoint, m route.Model) bool {
-	if *running >= max(1, v.Service.Engine.LoadsAtOnce) || !p.mayLoad(v) {
+// stageIfAllowed stages the model and returns true, or returns false if a limit on loads is reached.
+func (p *Planner) stageIfAllowed(v *View, running *int, e *endpoint.Endpoint, m route.Model) bool {
+	if *running >= max(1, v.Service.Engine.LoadsAtOnce) || !p.loadAllowed(v) {
 		return false
 	}
-	p.stageOne(v, e, m)
+	p.stageModel(v, e, m)
 	*running++
 	return true
 }
 
-// forCold returns the free endpoints without any model, with the one that each can have soonest.
-func (p *Planner) forCold(v *View) []load {
+// coldTargets returns the free endpoints without any model, each with the model that loads fastest.
+func (p *Planner) coldTargets(v *View) []stageTarget {
 	var soonest route.Model
 	for _, m := range v.Service.Engine.Models {
 		if soonest.Name == "" || m.Load < soonest.Load {
 			soonest = m
 		}
 	}
-	var out []load
+	var out []stageTarget
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if p.cold(v, e) {
-			out = append(out, load{e, soonest})
+		if p.isCold(v, e) {
+			out = append(out, stageTarget{e, soonest})
 		}
 	}
 	return out
 }
 
-// cold reports whether the endpoint is free, has no model and is being given none.
-func (p *Planner) cold(v *View, e *endpoint.Endpoint) bool {
-	return len(e.Models)+len(e.Staged) == 0 && !p.loading(e) && p.free(v, e)
+// isCold reports whether the endpoint is free, has no model and is being given none.
+func (p *Planner) isCold(v *View, e *endpoint.Endpoint) bool {
+	return len(e.Models)+len(e.Staged) == 0 && !p.isLoading(e) && p.isFree(v, e)
 }
 
-// oneSided reports whether the endpoint holds one model, keeps no other, and could be given one beside it.
-func (p *Planner) oneSided(e *endpoint.Endpoint) bool {
-	if p.loading(e) || e.Draining || e.Membership != nil && e.Membership.State == endpoint.Joining {
+// canTakeSecondModel reports whether the endpoint holds a model, has no other staged, and can load one now.
+func (p *Planner) canTakeSecondModel(e *endpoint.Endpoint) bool {
+	if p.isLoading(e) || e.Draining || e.Membership != nil && e.Membership.State == endpoint.Joining {
 		return false
 	}
-	return len(e.Models) > 0 && !keepsAnother(e)
+	return len(e.Models) > 0 && !hasOtherModelStaged(e)
 }
 
-// forOneSided returns the endpoints that keep only the model that they hold, with another one, the scarcest first: the
-// one whose requests would fill the largest part of the places that it could have. While no model is in need those are left out
-// that conversions cannot reach.
-func (p *Planner) forOneSided(v *View) []load {
-	known := p.capabilityOf(v)
+// secondModelTargets returns the endpoints that have only the model they hold, each with another model, the scarcest
+// first: the one with the highest pressure if it had every endpoint with a copy. While no model is in need, endpoints
+// that conversions cannot use are left out.
+func (p *Planner) secondModelTargets(v *View) []stageTarget {
+	copies := p.countCopies(v)
 	scarcity := make(map[string]float64)
 	for _, m := range v.Service.Engine.Models {
-		scarcity[m.Name] = p.shadow(v, known, m, 0)
+		scarcity[m.Name] = p.potentialPressure(v, copies, m, 0)
 	}
-	within, inNeed := p.withinReach(v), p.inNeed(v)
-	var out []load
+	within, inNeed := p.selectedDomains(v), p.anyModelInNeed(v)
+	var out []stageTarget
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
-		if !inNeed && !within[e.Domain] || !p.oneSided(e) || v.down(e.ID) {
+		if !inNeed && !within[e.Domain] || !p.canTakeSecondModel(e) || v.down(e.ID) {
 			continue
 		}
 		var lacks []route.Model
@@ -155,14 +155,14 @@
 		if len(lacks) == 0 {
 			continue
 		}
-		out = append(out, load{e, slices.MaxFunc(lacks, func(a, b route.Model) int { return cmp.Compare(scarcity[a.Name], scarcity[b.Name]) })})
+		out = append(out, stageTarget{e, slices.MaxFunc(lacks, func(a, b route.Model) int { return cmp.Compare(scarcity[a.Name], scarcity[b.Name]) })})
 	}
-	slices.SortStableFunc(out, func(a, b load) int { return cmp.Compare(scarcity[b.model.Name], scarcity[a.model.Name]) })
+	slices.SortStableFunc(out, func(a, b stageTarget) int { return cmp.Compare(scarcity[b.model.Name], scarcity[a.model.Name]) })
 	return out
 }
 
-// keepsAnother reports whether the host holds a model that the endpoint does not run.
-func keepsAnother(e *endpoint.Endpoint) bool {
+// hasOtherModelStaged reports whether the host has a staged model that the endpoint does not hold.
+func hasOtherModelStaged(e *endpoint.Endpoint) bool {
 	for _, m := range e.Staged {
 		if !e.Holds(m) {
 			return true
@@ -171,21 +171,21 @@
 	return false
 }
 
-func (p *Planner) stageOne(v *View, e *endpoint.Endpoint, m route.Model) {
+func (p *Planner) stageModel(v *View, e *endpoint.Endpoint, m route.Model) {
 	p.stagings[e.ID] = staging{m.Name, v.Now, v.Now.Add(m.Load + stageGrace)}
-	p.loads = append(p.loads, v.Now)
+	p.loadStarts = append(p.loadStarts, v.Now)
 	p.note("model staged", "", "endpoint", e.ID, "model", m.Name)
-	p.order(Order{Kind: Stage, Endpoint: e, Model: m.Name})
+	p.addOrder(Order{Kind: Stage, Endpoint: e, Model: m.Name})
 }
 
-// mayLoad keeps the loads of this tenure below the weight store's rate.
-func (p *Planner) mayLoad(v *View) bool {
-	if v.Now.Sub(p.started) < settle {
+// loadAllowed reports whether another load stays within this tenure's part of the weight store's rate.
+func (p *Planner) loadAllowed(v *View) bool {
+	if v.Now.Sub(p.started) < firstLoadDelay {
 		return false
 	}
 	recent := 0
-	for i := len(p.loads) - 1; i >= 0 && v.Now.Sub(p.loads[i]) < time.Second; i-- {
+	for i := len(p.loadStarts) - 1; i >= 0 && v.Now.Sub(p.loadStarts[i]) < time.Second; i-- {
 		recent++
 	}
-	return float64(recent) < stagePart*v.Service.Engine.LoadsPerSecond
+	return float64(recent) < maxLoadRateFraction*v.Service.Engine.LoadsPerSecond
 }
--- a/internal/formation/summary.go
+++ b/internal/formation/summary.go
@@ -9,13 +9,13 @@
 // summaryEvery is the interval between two summaries in the log.
 const summaryEvery = time.Second
 
-// summarise notes what there is for each model, once a second.
+// summarise logs the groups, requests and endpoints of each model and of the service.
 func (p *Planner) summarise(v *View) {
-	if v.Now.Sub(p.told) < summaryEvery {
+	if v.Now.Sub(p.lastSummary) < summaryEvery {
 		return
 	}
-	p.told = v.Now
-	have := p.assigned(v)
+	p.lastSummary = v.Now
+	have := p.assignedEndpoints(v)
 	for _, m := range v.Service.Engine.Models {
 		open, load := 0, 0
 		for name, g := range v.Snapshot.Groups {
@@ -25,7 +25,7 @@
 			open++
 			load += v.Loads[g.Head.ID]
 		}
-		p.note("supply", "", "model", m.Name, "open", open, "requests", load, "endpoints", have[m.Name], "readers", p.readers[m.Name],
+		p.note("supply", "", "model", m.Name, "open", open, "requests", load, "endpoints", have[m.Name], "readers", p.prefillGroups[m.Name],
 			"pressure", p.pressure(v, m, have))
 	}
 	free, cold := 0, 0
--- a/internal/formation/survey.go
+++ b/internal/formation/survey.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// surveyFor is how long a new tenure asks for loads that are under way; most answer at once, and no load begins
-	// before settle.
-	surveyFor = 900 * time.Millisecond
-	// surveyAgain is after how long an endpoint that loads an unknown model is asked whether it has ended. An answer is
-	// some hundred milliseconds old, and each question is priced.
-	surveyAgain = time.Second
+	// surveyWindow is how long a new tenure probes endpoints for loads in progress. Most answer at once, and no load
+	// starts before firstLoadDelay.
+	surveyWindow = 900 * time.Millisecond
+	// surveyRetryInterval is the interval at which an endpoint that loads an unknown model is probed for the end of the
+	// load. An answer is some hundred milliseconds old, and each probe has a cost.
+	surveyRetryInterval = time.Second
 )
 
-// survey finds the loads that an earlier leader has begun. It asks the endpoints listed at the beginning of the tenure
-// whose hosts lack a model, once; what they do later is this leader's own doing.
+// survey finds the loads that an earlier leader has started. It probes each endpoint whose host lacks a model until it
+// answers once, and only at the beginning of the tenure; later loads are ordered by this leader.
 func (p *Planner) survey(v *View) {
-	if v.Now.Sub(p.started) > surveyFor {
+	if v.Now.Sub(p.started) > surveyWindow {
 		return
 	}
 	for _, e := range v.Snapshot.Services[v.Service.Name] {
 		c := v.Contacts[e.ID]
-		if p.surveyed[e.ID] || e.Draining || keepsAnother(e) || p.loading(e) {
+		if p.surveyed[e.ID] || e.Draining || hasOtherModelStaged(e) || p.isLoading(e) {
 			continue
 		}
 		if !c.Answered.After(p.started) {
-			p.ask(e.ID)
+			p.requestProbe(e.ID)
 			continue
 		}
 		p.surveyed[e.ID] = true
 		if c.Busy && (e.Membership == nil || e.Membership.State != endpoint.Joining) {
 			p.stagings[e.ID] = staging{since: v.Now, until: v.Now.Add(p.longestLoad(v) + stageGrace)}
-			p.note("model is being loaded already", "", "endpoint", e.ID)
+			p.note("found a model load started by an earlier leader", "", "endpoint", e.ID)
 		}
 	}
 }
